--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -66,9 +66,16 @@
     }
 
     /// Whether an endpoint is likely to answer a request in time; `draw` is the request's random draw.
-    pub fn admits(&self, endpoint: &Endpoint, loads: &FreshLoads, priority: f64, draw: f64) -> bool {
+    pub fn admits(
+        &self,
+        endpoint: &Endpoint,
+        loads: &FreshLoads,
+        priority: f64,
+        draw: f64,
+    ) -> bool {
         let trial = endpoint.in_flight == 0 && draw < TRIAL_SHARE;
-        trial || self.is_open(endpoint, loads) && self.admits_request(endpoint, loads, priority, draw)
+        trial
+            || self.is_open(endpoint, loads) && self.admits_request(endpoint, loads, priority, draw)
     }
 
     fn is_open(&self, endpoint: &Endpoint, loads: &FreshLoads) -> bool {
@@ -78,7 +85,13 @@
 
     /// An endpoint that reports to be idle admits every request: that others were late elsewhere says nothing
     /// against it.
-    fn admits_request(&self, endpoint: &Endpoint, loads: &FreshLoads, priority: f64, draw: f64) -> bool {
+    fn admits_request(
+        &self,
+        endpoint: &Endpoint,
+        loads: &FreshLoads,
+        priority: f64,
+        draw: f64,
+    ) -> bool {
         let reports_idle = loads.reported(endpoint).is_some_and(is_idle);
         reports_idle || draw.powf(priority) <= self.admitted_share
     }
--- a/crates/balancer/src/arithmetic.rs
+++ b/crates/balancer/src/arithmetic.rs
@@ -22,7 +22,11 @@
 impl DecayingRate {
     /// Nothing yet, over a window in seconds.
     pub fn new(window: f64) -> Self {
-        DecayingRate { window, sum: 0.0, updated: Duration::ZERO }
+        DecayingRate {
+            window,
+            sum: 0.0,
+            updated: Duration::ZERO,
+        }
     }
 
     /// Counts an amount.
@@ -54,7 +58,11 @@
 impl TokenBucket {
     /// An empty bucket.
     pub fn new(tokens_per_second: f64) -> Self {
-        TokenBucket { tokens_per_second, tokens: 0.0, updated: Duration::ZERO }
+        TokenBucket {
+            tokens_per_second,
+            tokens: 0.0,
+            updated: Duration::ZERO,
+        }
     }
 
     /// Takes a token if there is one.
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -26,8 +26,8 @@
 use crate::routing::slow_start::SlowStart;
 use crate::routing::subset::Subset;
 use crate::{
-    Action, AttemptEnd, EndpointEntry, EndpointId, Event, HealthCheckEnd, ListKind, LoadReport, Outcome,
-    RequestId, Settings,
+    Action, AttemptEnd, EndpointEntry, EndpointId, Event, HealthCheckEnd, ListKind, LoadReport,
+    Outcome, RequestId, Settings,
 };
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -109,7 +109,9 @@
             Event::StreamStarted { id, .. } => self.on_stream_started(id),
             Event::AttemptEnded(end) => self.on_attempt_ended(end, actions),
             Event::ClientDisconnected { id } => self.close(id, actions),
-            Event::Timer { token: POLLING_TIMER } => self.poll_endpoints(actions),
+            Event::Timer {
+                token: POLLING_TIMER,
+            } => self.poll_endpoints(actions),
             Event::Timer { token } => self.on_request_timer(RequestId(token), actions),
             Event::HealthChecked(end) => self.on_health_checked(end, actions),
             Event::PeerMessage { .. } => {}
@@ -139,7 +141,10 @@
     fn poll_endpoints(&mut self, actions: &mut Vec<Action>) {
         self.subscribe_if_due(actions);
         let after = self.polling.check_interval();
-        actions.push(Action::SetTimer { after, token: POLLING_TIMER });
+        actions.push(Action::SetTimer {
+            after,
+            token: POLLING_TIMER,
+        });
     }
 
     fn subscribe_if_due(&mut self, actions: &mut Vec<Action>) {
@@ -148,7 +153,12 @@
         }
     }
 
-    fn on_endpoint_list(&mut self, kind: ListKind, entries: Vec<EndpointEntry>, actions: &mut Vec<Action>) {
+    fn on_endpoint_list(
+        &mut self,
+        kind: ListKind,
+        entries: Vec<EndpointEntry>,
+        actions: &mut Vec<Action>,
+    ) {
         match kind {
             ListKind::Failed => {
                 self.polling.on_failure(self.now, &mut self.random);
@@ -188,19 +198,25 @@
     }
 
     fn learn(&mut self, end: &AttemptEnd) {
-        let Some(request) = self.requests.get(&end.id) else { return };
-        let Some(attempt) = request.attempts.get(end.attempt as usize) else { return };
+        let Some(request) = self.requests.get(&end.id) else {
+            return;
+        };
+        let Some(attempt) = request.attempts.get(end.attempt as usize) else {
+            return;
+        };
         let class = &self.settings.classes[request.class];
         let class_mean = self.response_times.class_mean(request.class);
         let observation = Observation::new(request, attempt, end, class, class_mean, self.now);
         let served = end.outcome == Outcome::Served;
         if served {
-            self.response_times.record(request.class, request.relative_work, end.elapsed);
+            self.response_times
+                .record(request.class, request.relative_work, end.elapsed);
         }
         if let Some(endpoint) = self.endpoints.get_mut(end.endpoint) {
             endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
             if served {
-                self.slow_start.record_served(endpoint, request.relative_work, self.now);
+                self.slow_start
+                    .record_served(endpoint, request.relative_work, self.now);
             }
         }
         self.record_report(end.endpoint, end.report, served);
@@ -231,24 +247,38 @@
     }
 
     fn record_report(&mut self, id: EndpointId, report: Option<LoadReport>, served: bool) {
-        let Some(load) = report.as_ref().and_then(reported_load) else { return };
-        let Some(endpoint) = self.endpoints.get_mut(id) else { return };
+        let Some(load) = report.as_ref().and_then(reported_load) else {
+            return;
+        };
+        let Some(endpoint) = self.endpoints.get_mut(id) else {
+            return;
+        };
         endpoint.reported_load = Some(ReportedLoad::new(load, self.now));
-        self.join_up_to.record_report(endpoint, load, served, self.now);
+        self.join_up_to
+            .record_report(endpoint, load, served, self.now);
     }
 
     fn record_health(&mut self, id: EndpointId, signal: HealthSignal) {
         let subset_size = self.subset_size();
-        self.outliers.record(&mut self.endpoints, id, signal, subset_size, self.now);
+        self.outliers
+            .record(&mut self.endpoints, id, signal, subset_size, self.now);
     }
 
     /// How many of the ready endpoints this node uses.
     fn subset_size(&self) -> usize {
-        self.subset.size(self.endpoints.ready_count(), self.response_times.mean, self.now)
+        self.subset.size(
+            self.endpoints.ready_count(),
+            self.response_times.mean,
+            self.now,
+        )
     }
 
     /// The loads of the endpoints as they are known now.
     fn fresh_loads(&self) -> FreshLoads {
-        FreshLoads::new(self.settings.loads_are_polled(), self.response_times.mean, self.now)
+        FreshLoads::new(
+            self.settings.loads_are_polled(),
+            self.response_times.mean,
+            self.now,
+        )
     }
 }
--- a/crates/balancer/src/balancer/dispatch.rs
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -37,7 +37,10 @@
     /// Send it to this endpoint.
     Send(EndpointId),
     /// Ask endpoints of unknown load for theirs; if that can't be done, as `otherwise`.
-    CheckLoads { unknown: Vec<EndpointId>, otherwise: Option<EndpointId> },
+    CheckLoads {
+        unknown: Vec<EndpointId>,
+        otherwise: Option<EndpointId>,
+    },
     /// Give it its final answer: no attempt may follow, or no endpoint is likely to answer it in time.
     Answer,
 }
@@ -45,20 +48,28 @@
 impl Balancer {
     /// Finds an endpoint for a request.
     pub(super) fn dispatch(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let draws = Draws { admission: self.random.unit(), pick: self.random.unit() };
+        let draws = Draws {
+            admission: self.random.unit(),
+            pick: self.random.unit(),
+        };
         let subset_size = self.subset_size();
-        self.slow_start.draw_permits(&mut self.endpoints, subset_size, self.now, &mut self.random);
+        self.slow_start
+            .draw_permits(&mut self.endpoints, subset_size, self.now, &mut self.random);
         match self.route(id, subset_size, &draws) {
             Route::Wait => {}
             Route::WaitForEndpoint => self.wait_for_endpoint(id, actions),
             Route::Send(endpoint) => self.start_attempt(id, endpoint, actions),
-            Route::CheckLoads { unknown, otherwise } => self.check_loads(id, unknown, otherwise, actions),
+            Route::CheckLoads { unknown, otherwise } => {
+                self.check_loads(id, unknown, otherwise, actions)
+            }
             Route::Answer => self.answer(id, actions),
         }
     }
 
     fn route(&self, id: RequestId, subset_size: usize, draws: &Draws) -> Route {
-        let Some(request) = self.requests.get(&id) else { return Route::Wait };
+        let Some(request) = self.requests.get(&id) else {
+            return Route::Wait;
+        };
         if request.closed || !self.allows_parallel_attempt(request) {
             return Route::Wait;
         }
@@ -66,7 +77,10 @@
         if self.now >= request.deadline || is_retry && !self.retry_budget.allows_retry() {
             return Route::Answer;
         }
-        let permitted = self.endpoints.ring().filter(|endpoint| self.permits(endpoint, request));
+        let permitted = self
+            .endpoints
+            .ring()
+            .filter(|endpoint| self.permits(endpoint, request));
         let permitted: Vec<&Endpoint> = permitted.take(subset_size).collect();
         match (permitted.is_empty(), is_retry) {
             (true, true) => Route::Answer,
@@ -87,10 +101,16 @@
         let is_retry = request.was_attempted();
         let may_be_trial = !is_retry && outlier::allows_trial(request.idempotency, draws.admission);
         let healthy = outlier::candidates(permitted, may_be_trial, self.now);
-        let admits = |e: &&Endpoint| self.admission.admits(e, &loads, request.priority, draws.admission);
+        let admits = |e: &&Endpoint| {
+            self.admission
+                .admits(e, &loads, request.priority, draws.admission)
+        };
         let admitting = healthy.iter().copied().filter(admits).collect();
         let preferred = up_to_average(admitting, &loads);
-        if let Some(endpoint) = self.join_up_to.lowest_below_cap(&preferred, &loads, draws.pick) {
+        if let Some(endpoint) = self
+            .join_up_to
+            .lowest_below_cap(&preferred, &loads, draws.pick)
+        {
             return Route::Send(endpoint);
         }
         if self.held.contains(id) {
@@ -99,35 +119,55 @@
         let at_random = join_up_to::any(&preferred, draws.pick);
         if self.checks_are_worth_it(request) {
             let is_unknown = |e: &&&Endpoint| !e.check_in_flight && loads.reported(e).is_none();
-            let unknown = healthy.iter().filter(is_unknown).map(|endpoint| endpoint.entry.id).collect();
-            return Route::CheckLoads { unknown, otherwise: at_random };
+            let unknown = healthy
+                .iter()
+                .filter(is_unknown)
+                .map(|endpoint| endpoint.entry.id)
+                .collect();
+            return Route::CheckLoads {
+                unknown,
+                otherwise: at_random,
+            };
         }
         at_random.map_or(Route::Answer, Route::Send)
     }
 
     fn checks_are_worth_it(&self, request: &PendingRequest) -> bool {
         let declared = self.declared_work.mean;
-        let work_unit = if declared > 0.0 { declared } else { self.response_times.median };
+        let work_unit = if declared > 0.0 {
+            declared
+        } else {
+            self.response_times.median
+        };
         let busy_share = self.join_up_to.busy_share();
-        !request.health_checked && self.active_checks.are_worth_it(request, busy_share, work_unit, self.now)
+        !request.health_checked
+            && self
+                .active_checks
+                .are_worth_it(request, busy_share, work_unit, self.now)
     }
 
     /// The rules, which nothing relaxes: an endpoint that is ready, has warmed up or has a permit, may run
     /// the request (again), and was not tried for it before.
     fn permits(&self, endpoint: &Endpoint, request: &PendingRequest) -> bool {
         endpoint.entry.state == EndpointState::Ready
-            && self.slow_start.allows(endpoint, request.relative_work, self.now)
+            && self
+                .slow_start
+                .allows(endpoint, request.relative_work, self.now)
             && idempotency::allows_attempt(request, &endpoint.entry, self.now)
             && !request.was_sent_to(&endpoint.entry)
     }
 
     fn allows_parallel_attempt(&self, request: &PendingRequest) -> bool {
-        self.hedging.allows_attempt(request, self.response_times.median, self.now)
+        self.hedging
+            .allows_attempt(request, self.response_times.median, self.now)
     }
 
     fn wait_for_endpoint(&self, id: RequestId, actions: &mut Vec<Action>) {
         let wait = Duration::from_secs_f64(self.response_times.mean * WAIT_IN_RESPONSES);
-        actions.push(Action::SetTimer { after: wait.max(self.settings.tick), token: id.0 });
+        actions.push(Action::SetTimer {
+            after: wait.max(self.settings.tick),
+            token: id.0,
+        });
     }
 
     fn check_loads(
@@ -137,7 +177,10 @@
         otherwise: Option<EndpointId>,
         actions: &mut Vec<Action>,
     ) {
-        if self.active_checks.start(unknown, &mut self.endpoints, &mut self.random, actions) {
+        if self
+            .active_checks
+            .start(unknown, &mut self.endpoints, &mut self.random, actions)
+        {
             self.held.hold(id);
             let after = self.active_checks.max_hold(self.response_times.mean);
             actions.push(Action::SetTimer { after, token: id.0 });
@@ -151,8 +194,12 @@
 
     /// Starts an attempt, the only place that does. Every rule is checked here, whatever led to it.
     fn start_attempt(&mut self, id: RequestId, to: EndpointId, actions: &mut Vec<Action>) {
-        let Some(request) = self.requests.get(&id) else { return };
-        let Some(endpoint) = self.endpoints.get(to) else { return };
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        let Some(endpoint) = self.endpoints.get(to) else {
+            return;
+        };
         if !self.may_start_attempt(request, endpoint) {
             return self.answer(id, actions);
         }
@@ -168,7 +215,11 @@
             load_level: load_level(self.fresh_loads().estimate(endpoint)),
             outcome: None,
         };
-        actions.push(Action::StartAttempt { id, endpoint: to, timeout: plan.timeout });
+        actions.push(Action::StartAttempt {
+            id,
+            endpoint: to,
+            timeout: plan.timeout,
+        });
         self.record_attempt(id, attempt);
         if is_retry {
             self.retry_budget.withdraw();
@@ -187,16 +238,30 @@
     fn plan_attempt(&self, request: &PendingRequest) -> AttemptPlan {
         let timer_margin = 2 * self.settings.tick;
         let retryable_for = idempotency::retryable_for(request, self.now, timer_margin);
-        let budget_allows = self.retry_budget.allows_retry_after(request.was_attempted());
-        self.hedging.plan(request, self.response_times.median, retryable_for, budget_allows, self.now)
+        let budget_allows = self
+            .retry_budget
+            .allows_retry_after(request.was_attempted());
+        self.hedging.plan(
+            request,
+            self.response_times.median,
+            retryable_for,
+            budget_allows,
+            self.now,
+        )
     }
 }
 
 /// The endpoints whose load is not above the average of them all.
 fn up_to_average<'a>(among: Vec<&'a Endpoint>, loads: &FreshLoads) -> Vec<&'a Endpoint> {
     const ROUNDING: f64 = 1e-9;
-    let estimates: Vec<f64> = among.iter().map(|endpoint| loads.estimate(endpoint)).collect();
+    let estimates: Vec<f64> = among
+        .iter()
+        .map(|endpoint| loads.estimate(endpoint))
+        .collect();
     let average = estimates.iter().sum::<f64>() / among.len() as f64 + ROUNDING;
     let with_load = among.into_iter().zip(estimates);
-    with_load.filter(|(_, load)| *load <= average).map(|(endpoint, _)| endpoint).collect()
+    with_load
+        .filter(|(_, load)| *load <= average)
+        .map(|(endpoint, _)| endpoint)
+        .collect()
 }
--- a/crates/balancer/src/balancer/life_cycle.rs
+++ b/crates/balancer/src/balancer/life_cycle.rs
@@ -30,7 +30,10 @@
         if admission::is_hopeless(new.cost_hint, time_left, self.join_up_to.busy_share()) {
             return self.answer(new.id, actions);
         }
-        actions.push(Action::SetTimer { after: time_left, token: new.id.0 });
+        actions.push(Action::SetTimer {
+            after: time_left,
+            token: new.id.0,
+        });
         self.dispatch(new.id, actions);
     }
 
@@ -51,7 +54,9 @@
     }
 
     pub(super) fn on_request_timer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         if self.now >= request.deadline {
             return self.answer(id, actions);
         }
@@ -62,8 +67,12 @@
     }
 
     pub(super) fn on_attempt_ended(&mut self, end: AttemptEnd, actions: &mut Vec<Action>) {
-        let Some(request) = self.requests.get_mut(&end.id) else { return };
-        let Some(attempt) = request.attempts.get_mut(end.attempt as usize) else { return };
+        let Some(request) = self.requests.get_mut(&end.id) else {
+            return;
+        };
+        let Some(attempt) = request.attempts.get_mut(end.attempt as usize) else {
+            return;
+        };
         if attempt.outcome.replace(end.outcome).is_some() {
             return;
         }
@@ -80,7 +89,9 @@
     /// Gives the final answer, the only place that does: shed if the client may safely retry, else failed.
     /// Waits for attempts in flight, which may still be served.
     pub(super) fn answer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
         if request.closed || request.streaming {
             return;
         }
@@ -100,7 +111,9 @@
     /// end.
     pub(super) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         self.held.release(id);
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         if !request.closed && !request.streaming && self.settings.limits.cancel {
             let attempts = request.attempts.iter().zip(0..);
             let in_flight = attempts.filter(|(attempt, _)| attempt.is_in_flight());
--- a/crates/balancer/src/endpoint_polling.rs
+++ b/crates/balancer/src/endpoint_polling.rs
@@ -30,7 +30,12 @@
     pub fn new(settings: &Settings) -> Self {
         let interval = settings.rules.poll_interval;
         let (last_call, backoff) = (Duration::ZERO, Duration::ZERO);
-        EndpointPolling { interval, next_call: None, last_call, backoff }
+        EndpointPolling {
+            interval,
+            next_call: None,
+            last_call,
+            backoff,
+        }
     }
 
     /// Schedules the first call of a node that has just started.
--- a/crates/balancer/src/endpoint_set.rs
+++ b/crates/balancer/src/endpoint_set.rs
@@ -79,17 +79,29 @@
     /// The mean send count of the next so many endpoints on the ring.
     pub fn mean_send_count(&self, endpoints: usize) -> u32 {
         let endpoints = endpoints.min(self.ready.len());
-        let sends: u32 = self.ring().take(endpoints).map(|endpoint| endpoint.sends.since_idle()).sum();
+        let sends: u32 = self
+            .ring()
+            .take(endpoints)
+            .map(|endpoint| endpoint.sends.since_idle())
+            .sum();
         sends / endpoints.max(1) as u32
     }
 
     /// Takes in entries of the list. Endpoints that are new or have restarted get the send count `new_count`.
-    pub fn apply(&mut self, kind: ListKind, entries: Vec<EndpointEntry>, new_count: u32, now: Duration) {
+    pub fn apply(
+        &mut self,
+        kind: ListKind,
+        entries: Vec<EndpointEntry>,
+        new_count: u32,
+        now: Duration,
+    ) {
         let is_whole_list = kind != ListKind::Delta;
         let was_absent = self.has_listed;
         self.has_listed |= !entries.is_empty();
         if is_whole_list {
-            self.by_id.values_mut().for_each(|endpoint| endpoint.entry.state = EndpointState::Removed);
+            self.by_id
+                .values_mut()
+                .for_each(|endpoint| endpoint.entry.state = EndpointState::Removed);
             self.ready.clear();
         }
         for entry in entries {
@@ -100,11 +112,18 @@
             }
         }
         if is_whole_list {
-            self.by_id.retain(|_, endpoint| endpoint.entry.state != EndpointState::Removed);
+            self.by_id
+                .retain(|_, endpoint| endpoint.entry.state != EndpointState::Removed);
         }
     }
 
-    fn apply_entry(&mut self, entry: EndpointEntry, new_count: u32, was_absent: bool, now: Duration) {
+    fn apply_entry(
+        &mut self,
+        entry: EndpointEntry,
+        new_count: u32,
+        was_absent: bool,
+        now: Duration,
+    ) {
         let known = self.by_id.remove(&entry.id).unwrap_or_default();
         if entry.state == EndpointState::Removed {
             return;
--- a/crates/balancer/src/estimates.rs
+++ b/crates/balancer/src/estimates.rs
@@ -22,7 +22,9 @@
         ResponseTimes {
             mean: shortest / 2.0,
             median: shortest / 4.0,
-            by_class: objectives.map(|objective| objective.as_secs_f64() / 2.0).collect(),
+            by_class: objectives
+                .map(|objective| objective.as_secs_f64() / 2.0)
+                .collect(),
         }
     }
 
@@ -37,7 +39,11 @@
         smooth(&mut self.by_class[class], elapsed, SMOOTHING / 4.0);
         smooth(&mut self.mean, elapsed, SMOOTHING / 4.0);
         // A stochastic median: one step up or down, whichever side of it the response fell.
-        let step = if elapsed > self.median * work.max(1.0) { SMOOTHING } else { -SMOOTHING };
+        let step = if elapsed > self.median * work.max(1.0) {
+            SMOOTHING
+        } else {
+            -SMOOTHING
+        };
         self.median *= 1.0 + step / 4.0;
     }
 }
@@ -56,7 +62,11 @@
         if work <= 0.0 {
             return 1.0;
         }
-        let weight = if self.mean == 0.0 { 1.0 } else { SMOOTHING / 8.0 };
+        let weight = if self.mean == 0.0 {
+            1.0
+        } else {
+            SMOOTHING / 8.0
+        };
         smooth(&mut self.mean, work, weight);
         work / self.mean
     }
--- a/crates/balancer/src/health/active_check.rs
+++ b/crates/balancer/src/health/active_check.rs
@@ -48,7 +48,12 @@
         let busy = busy_share.max(SMOOTHING);
         let work = request.relative_work * work_unit;
         let time_left = request.deadline.saturating_sub(now).as_secs_f64().max(1e-6);
-        let stake = request.priority * if self.weight_by_work { request.relative_work } else { 1.0 };
+        let stake = request.priority
+            * if self.weight_by_work {
+                request.relative_work
+            } else {
+                1.0
+            };
         let spared = 1.0 - busy.powi(CHECKS_PER_REQUEST as i32) / 2.0;
         let saved = stake * busy * (work / time_left).min(1.0) * spared;
         saved >= f64::from(CHECKS_PER_REQUEST) * self.price
--- a/crates/balancer/src/health/load_report.rs
+++ b/crates/balancer/src/health/load_report.rs
@@ -27,7 +27,11 @@
 impl FreshLoads {
     /// The loads as of `now`, by the mean response time in seconds.
     pub fn new(polled: bool, mean_response_time: f64, now: Duration) -> Self {
-        FreshLoads { now, max_age: mean_response_time * MAX_AGE_IN_RESPONSES, polled }
+        FreshLoads {
+            now,
+            max_age: mean_response_time * MAX_AGE_IN_RESPONSES,
+            polled,
+        }
     }
 
     /// Whether what was reported then still counts.
@@ -37,7 +41,9 @@
 
     /// The recently reported load of an endpoint, with own sends since.
     pub fn reported(&self, endpoint: &Endpoint) -> Option<f64> {
-        let recent = endpoint.reported_load.filter(|load| self.polled && self.is_recent(load.reported_at()));
+        let recent = endpoint
+            .reported_load
+            .filter(|load| self.polled && self.is_recent(load.reported_at()));
         recent.map(|load| load.requests())
     }
 
--- a/crates/balancer/src/health/observation.rs
+++ b/crates/balancer/src/health/observation.rs
@@ -74,7 +74,12 @@
 
 /// Whether an attempt took more than three quarters of its time, or well past its objective where late
 /// responses count as well.
-fn is_tight(request: &PendingRequest, attempt: &Attempt, end: &AttemptEnd, class: &RequestClass) -> bool {
+fn is_tight(
+    request: &PendingRequest,
+    attempt: &Attempt,
+    end: &AttemptEnd,
+    class: &RequestClass,
+) -> bool {
     let time_left = request.deadline - attempt.started;
     let quarters = if class.late_weight > 0.0 { 5 } else { 3 };
     4 * end.elapsed > quarters * class.latency_objective.min(time_left)
--- a/crates/balancer/src/health/outlier.rs
+++ b/crates/balancer/src/health/outlier.rs
@@ -29,7 +29,10 @@
 impl OutlierDetector {
     /// No failures yet.
     pub fn new(settings: &Settings) -> Self {
-        OutlierDetector { base_ejection_time: settings.rules.overload_window, failure_rate: 0.0 }
+        OutlierDetector {
+            base_ejection_time: settings.rules.overload_window,
+            failure_rate: 0.0,
+        }
     }
 
     /// Takes in a signal, and ejects the endpoint if that makes it an outlier.
@@ -41,7 +44,9 @@
         subset_size: usize,
         now: Duration,
     ) {
-        let Some(endpoint) = endpoints.get_mut(id) else { return };
+        let Some(endpoint) = endpoints.get_mut(id) else {
+            return;
+        };
         endpoint.health.record(signal);
         smooth(&mut self.failure_rate, signal.failure(), SMOOTHING / 2.0);
         if signal.failure() < 1.0 {
@@ -51,9 +56,13 @@
         let health = endpoint.health;
         let must_eject = health.is_ejected() || signal == HealthSignal::Unreachable;
         if must_eject || self.is_outlier(&health) && may_eject_more(endpoints, 2 * subset_size) {
-            let Some(endpoint) = endpoints.get_mut(id) else { return };
+            let Some(endpoint) = endpoints.get_mut(id) else {
+                return;
+            };
             let doublings = health.ejections().min(MAX_DOUBLINGS);
-            endpoint.health.eject(now + self.base_ejection_time * (1 << doublings));
+            endpoint
+                .health
+                .eject(now + self.base_ejection_time * (1 << doublings));
         }
     }
 
@@ -77,14 +86,25 @@
     if may_be_trial && permitted.iter().any(is_due) {
         return permitted.into_iter().filter(is_due).collect();
     }
-    let healthy = permitted.iter().copied().filter(|endpoint| !endpoint.health.is_ejected());
+    let healthy = permitted
+        .iter()
+        .copied()
+        .filter(|endpoint| !endpoint.health.is_ejected());
     let healthy: Vec<&Endpoint> = healthy.collect();
-    if healthy.is_empty() { permitted } else { healthy }
+    if healthy.is_empty() {
+        permitted
+    } else {
+        healthy
+    }
 }
 
 /// Half of the nearby endpoints are never ejected as outliers.
 fn may_eject_more(endpoints: &EndpointSet, nearby: usize) -> bool {
-    let ejected = endpoints.ring().take(nearby).filter(|endpoint| endpoint.health.is_ejected()).count();
+    let ejected = endpoints
+        .ring()
+        .take(nearby)
+        .filter(|endpoint| endpoint.health.is_ejected())
+        .count();
     let nearby = nearby.min(endpoints.ready_count());
     2 * ejected + 2 <= nearby
 }
--- a/crates/balancer/src/health/reported_load.rs
+++ b/crates/balancer/src/health/reported_load.rs
@@ -19,7 +19,10 @@
 impl ReportedLoad {
     /// A report of this many requests.
     pub fn new(requests: f64, reported_at: Duration) -> Self {
-        ReportedLoad { requests, reported_at }
+        ReportedLoad {
+            requests,
+            reported_at,
+        }
     }
 
     /// The reported requests, and own sends since.
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -29,8 +29,8 @@
 pub use event::{Event, HealthCheckEnd};
 pub use request::{AttemptEnd, NewRequest, Outcome, RequestId};
 pub use settings::{
-    Goal, Idempotency, Limits, LoadReportSource, Prices, RequestClass, Rules, Scope, Settings, SettingsError,
-    Tenant,
+    Goal, Idempotency, Limits, LoadReportSource, Prices, RequestClass, Rules, Scope, Settings,
+    SettingsError, Tenant,
 };
 
 /// The README's example, compiled as a test.
--- a/crates/balancer/src/pending_request.rs
+++ b/crates/balancer/src/pending_request.rs
@@ -54,7 +54,10 @@
 impl PendingRequest {
     /// How many attempts are in flight.
     pub fn in_flight(&self) -> usize {
-        self.attempts.iter().filter(|attempt| attempt.is_in_flight()).count()
+        self.attempts
+            .iter()
+            .filter(|attempt| attempt.is_in_flight())
+            .count()
     }
 
     /// The latest attempt in flight.
@@ -74,6 +77,8 @@
 
     /// Whether an attempt was sent to this endpoint.
     pub fn was_sent_to(&self, endpoint: &EndpointEntry) -> bool {
-        self.attempts.iter().any(|attempt| attempt.endpoint.id == endpoint.id)
+        self.attempts
+            .iter()
+            .any(|attempt| attempt.endpoint.id == endpoint.id)
     }
 }
--- a/crates/balancer/src/priority.rs
+++ b/crates/balancer/src/priority.rs
@@ -25,7 +25,11 @@
     pub fn new(settings: &Settings) -> Self {
         let nodes = f64::from(settings.node_count.max(1));
         let quota = |tenant: &Tenant| TokenBucket::new(tenant.quota_per_s / nodes);
-        let class_weights: Vec<f64> = settings.classes.iter().map(|class| class.priority_weight).collect();
+        let class_weights: Vec<f64> = settings
+            .classes
+            .iter()
+            .map(|class| class.priority_weight)
+            .collect();
         Priorities {
             quotas: settings.tenants.iter().map(quota).collect(),
             over_quota_weight: settings.over_quota_weight,
@@ -40,8 +44,12 @@
     /// evenly over all classes, since any may become the worst.
     pub fn of(&mut self, class: usize, tenant: usize, now: Duration) -> f64 {
         let class_weight = self.class_weights[class];
-        let weight =
-            class_weight * if self.is_over_quota(tenant, now) { self.over_quota_weight } else { 1.0 };
+        let weight = class_weight
+            * if self.is_over_quota(tenant, now) {
+                self.over_quota_weight
+            } else {
+                1.0
+            };
         smooth(&mut self.mean_weight, weight, SMOOTHING / 8.0);
         let even = self.mean_weight * self.worst_class / self.whole;
         ((weight + even) / (self.mean_weight + even).max(1e-9)).clamp(0.0, MAX_PRIORITY)
@@ -49,6 +57,8 @@
 
     /// Counts a request against its tenant's quota.
     fn is_over_quota(&mut self, tenant: usize, now: Duration) -> bool {
-        self.quotas.get_mut(tenant).is_some_and(|quota| !quota.take(now))
+        self.quotas
+            .get_mut(tenant)
+            .is_some_and(|quota| !quota.take(now))
     }
 }
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -50,7 +50,10 @@
 impl Outcome {
     /// Whether this outcome proves that the request never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
+        matches!(
+            self,
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
+        )
     }
 }
 
--- a/crates/balancer/src/retry/budget.rs
+++ b/crates/balancer/src/retry/budget.rs
@@ -16,7 +16,9 @@
 impl RetryBudget {
     /// The budget of a node that has just started.
     pub fn new() -> Self {
-        RetryBudget { tokens: INITIAL_TOKENS }
+        RetryBudget {
+            tokens: INITIAL_TOKENS,
+        }
     }
 
     /// A request has arrived.
--- a/crates/balancer/src/retry/client_retry.rs
+++ b/crates/balancer/src/retry/client_retry.rs
@@ -24,7 +24,11 @@
     /// Nothing seen yet.
     pub fn new(settings: &Settings) -> Self {
         ClientRetries {
-            deadlines: settings.classes.iter().map(|class| class.deadline).collect(),
+            deadlines: settings
+                .classes
+                .iter()
+                .map(|class| class.deadline)
+                .collect(),
             first_try: vec![Duration::ZERO; settings.classes.len()],
             shortest_backoff: None,
         }
@@ -40,7 +44,9 @@
         let spent = deadline.saturating_sub(request.remaining);
         let try_lasts_deadline = first_try + deadline / TOLERANCE >= deadline;
         if request.client_retry && try_lasts_deadline {
-            let shortest = self.shortest_backoff.map_or(spent, |backoff| backoff.min(spent));
+            let shortest = self
+                .shortest_backoff
+                .map_or(spent, |backoff| backoff.min(spent));
             self.shortest_backoff = Some(shortest);
         }
         let cut_like_first_try = request.remaining.abs_diff(first_try) < first_try / TOLERANCE;
--- a/crates/balancer/src/retry/hedging.rs
+++ b/crates/balancer/src/retry/hedging.rs
@@ -33,7 +33,10 @@
 impl Hedging {
     /// As the site permits.
     pub fn new(settings: &Settings) -> Self {
-        Hedging { parallel_attempts: settings.limits.parallel_attempts, tick: settings.tick }
+        Hedging {
+            parallel_attempts: settings.limits.parallel_attempts,
+            tick: settings.tick,
+        }
     }
 
     /// How long an attempt may be silent before a hedged one follows, by the median response time in seconds.
@@ -44,7 +47,9 @@
 
     /// Whether an attempt may start now, beside those in flight.
     pub fn allows_attempt(&self, request: &PendingRequest, median: f64, now: Duration) -> bool {
-        let Some(last) = request.last_in_flight() else { return true };
+        let Some(last) = request.last_in_flight() else {
+            return true;
+        };
         let silent_at = last.started + self.hedge_delay(request, median).mul_f64(TIMER_TOLERANCE);
         self.parallel_attempts && request.in_flight() < MAX_PARALLEL && now >= silent_at
     }
@@ -64,12 +69,21 @@
         let hedge_delay = self.hedge_delay(request, median);
         let has_time = retryable_for > hedge_delay && time_left > hedge_delay * 5 / 4;
         if !(has_time && budget_allows) {
-            return AttemptPlan { timeout: time_left, hedge_after: None };
+            return AttemptPlan {
+                timeout: time_left,
+                hedge_after: None,
+            };
         }
         if self.parallel_attempts {
-            return AttemptPlan { timeout: time_left, hedge_after: Some(hedge_delay) };
+            return AttemptPlan {
+                timeout: time_left,
+                hedge_after: Some(hedge_delay),
+            };
         }
         let timeout = hedge_delay.max(time_left - hedge_delay).min(retryable_for);
-        AttemptPlan { timeout, hedge_after: None }
+        AttemptPlan {
+            timeout,
+            hedge_after: None,
+        }
     }
 }
--- a/crates/balancer/src/retry/idempotency.rs
+++ b/crates/balancer/src/retry/idempotency.rs
@@ -7,7 +7,9 @@
 
 /// Whether the request may be sent to this endpoint, given the attempts that may have run.
 pub fn allows_attempt(request: &PendingRequest, endpoint: &EndpointEntry, now: Duration) -> bool {
-    let Some(first) = request.first_that_may_have_run() else { return true };
+    let Some(first) = request.first_that_may_have_run() else {
+        return true;
+    };
     match request.idempotency {
         Idempotency::Idempotent => true,
         Idempotency::NotIdempotent => false,
@@ -31,7 +33,9 @@
         Idempotency::Idempotent => Duration::MAX,
         Idempotency::NotIdempotent => Duration::ZERO,
         Idempotency::Keyed { window, .. } => {
-            let first = request.first_that_may_have_run().map_or(now, |attempt| attempt.started);
+            let first = request
+                .first_that_may_have_run()
+                .map_or(now, |attempt| attempt.started);
             (first + window).saturating_sub(now + margin)
         }
     }
@@ -41,7 +45,10 @@
 /// retry may reach endpoints outside a narrower scope than all.
 pub fn client_may_retry(request: &PendingRequest) -> bool {
     match request.idempotency {
-        Idempotency::Idempotent | Idempotency::Keyed { scope: Scope::All, .. } => true,
+        Idempotency::Idempotent
+        | Idempotency::Keyed {
+            scope: Scope::All, ..
+        } => true,
         _ => !request.attempts.iter().any(Attempt::may_have_run),
     }
 }
--- a/crates/balancer/src/routing/join_up_to.rs
+++ b/crates/balancer/src/routing/join_up_to.rs
@@ -41,20 +41,39 @@
     }
 
     /// The endpoint with the lowest count strictly below m; `draw` breaks ties.
-    pub fn lowest_below_cap(&self, among: &[&Endpoint], loads: &FreshLoads, draw: f64) -> Option<EndpointId> {
+    pub fn lowest_below_cap(
+        &self,
+        among: &[&Endpoint],
+        loads: &FreshLoads,
+        draw: f64,
+    ) -> Option<EndpointId> {
         let cap = self.cap();
-        let counts: Vec<u32> = among.iter().map(|endpoint| self.count(endpoint, loads, cap)).collect();
+        let counts: Vec<u32> = among
+            .iter()
+            .map(|endpoint| self.count(endpoint, loads, cap))
+            .collect();
         let lowest = *counts.iter().min().filter(|count| **count < cap)?;
         let with_count = among.iter().zip(counts);
-        let ties: Vec<&Endpoint> =
-            with_count.filter(|(_, count)| *count == lowest).map(|(endpoint, _)| *endpoint).collect();
+        let ties: Vec<&Endpoint> = with_count
+            .filter(|(_, count)| *count == lowest)
+            .map(|(endpoint, _)| *endpoint)
+            .collect();
         any(&ties, draw)
     }
 
     /// The count of an endpoint; m if its idle sign has lapsed.
     fn count(&self, endpoint: &Endpoint, loads: &FreshLoads, cap: u32) -> u32 {
-        let sign_is_recent = || endpoint.sends.idle_at().is_some_and(|at| loads.is_recent(at));
-        if self.signs_lapse && !sign_is_recent() { cap } else { endpoint.sends.since_idle() }
+        let sign_is_recent = || {
+            endpoint
+                .sends
+                .idle_at()
+                .is_some_and(|at| loads.is_recent(at))
+        };
+        if self.signs_lapse && !sign_is_recent() {
+            cap
+        } else {
+            endpoint.sends.since_idle()
+        }
     }
 
     /// The cap m of Theorem 6 of the paper for exponential job sizes, from own sends per idle sign (its
@@ -76,7 +95,13 @@
 
     /// A load report arrived. With a response, an idle one resets the count, but it is a late one if own
     /// attempts are still in flight there: those stay in the count.
-    pub fn record_report(&mut self, endpoint: &mut Endpoint, load: f64, served: bool, now: Duration) {
+    pub fn record_report(
+        &mut self,
+        endpoint: &mut Endpoint,
+        load: f64,
+        served: bool,
+        now: Duration,
+    ) {
         let busy = if is_idle(load) { 0.0 } else { 1.0 };
         smooth(&mut self.busy_share, busy, SMOOTHING / 8.0);
         if !(is_idle(load) && served) {
--- a/crates/balancer/src/routing/permit.rs
+++ b/crates/balancer/src/routing/permit.rs
@@ -13,7 +13,10 @@
 impl Permit {
     /// No permit; the first draw counts the time from `now`.
     pub fn none(now: Duration) -> Self {
-        Permit { expires: Duration::ZERO, drawn_at: now }
+        Permit {
+            expires: Duration::ZERO,
+            drawn_at: now,
+        }
     }
 
     /// Whether there is one.
--- a/crates/balancer/src/routing/ring.rs
+++ b/crates/balancer/src/routing/ring.rs
@@ -53,7 +53,8 @@
     }
 
     fn search(&self, id: EndpointId) -> Result<usize, usize> {
-        self.ids.binary_search_by_key(&position(id), |other| position(*other))
+        self.ids
+            .binary_search_by_key(&position(id), |other| position(*other))
     }
 }
 
--- a/crates/balancer/src/routing/send_count.rs
+++ b/crates/balancer/src/routing/send_count.rs
@@ -13,7 +13,10 @@
 impl SendCount {
     /// The count of a newly listed endpoint: at zero, all nodes would join it at once.
     pub fn starting_at(since_idle: u32) -> Self {
-        SendCount { since_idle, idle_at: None }
+        SendCount {
+            since_idle,
+            idle_at: None,
+        }
     }
 
     /// Own sends since it last showed idle.
--- a/crates/balancer/src/routing/slow_start.rs
+++ b/crates/balancer/src/routing/slow_start.rs
@@ -87,7 +87,9 @@
         self.update_share(endpoints, subset_size, now);
         for id in starting {
             let draw = random.unit();
-            let Some(endpoint) = endpoints.get_mut(id) else { continue };
+            let Some(endpoint) = endpoints.get_mut(id) else {
+                continue;
+            };
             let rate = self.load_factor * self.capacity.at(endpoint, now) * self.share.peak();
             self.draw_permit(&mut endpoint.permit, rate, draw, now);
         }
@@ -95,7 +97,10 @@
 
     /// Draws one permit with the probability that a Poisson process of this rate has had an event since.
     fn draw_permit(&self, permit: &mut Permit, rate: f64, draw: f64, now: Duration) {
-        let since = permit.since_draw(now).min(self.permit_lifetime).as_secs_f64();
+        let since = permit
+            .since_draw(now)
+            .min(self.permit_lifetime)
+            .as_secs_f64();
         let won = draw < 1.0 - (-rate * since).exp();
         permit.record_draw(won, self.permit_lifetime, now);
     }
@@ -103,7 +108,9 @@
     /// Updates the estimate of what a warm endpoint serves for this node.
     fn update_share(&mut self, endpoints: &EndpointSet, subset_size: usize, now: Duration) {
         let subset = endpoints.ring().take(subset_size);
-        let warm = subset.filter(|endpoint| self.capacity.is_full(endpoint, now)).count();
+        let warm = subset
+            .filter(|endpoint| self.capacity.is_full(endpoint, now))
+            .count();
         let sharing = subset_size.min(endpoints.ready_count());
         self.share.update(warm, sharing, now);
     }
--- a/crates/balancer/src/routing/start_time.rs
+++ b/crates/balancer/src/routing/start_time.rs
@@ -28,7 +28,9 @@
         let forgiven = USABLE_OVERLOAD * rules.overload_factor / load_factor(rules) - 1.0;
         let growth_per_window = (1.0 - rules.initial_capacity).max(1e-6);
         let windows = (rules.initial_capacity * forgiven / growth_per_window).clamp(0.0, 1.0);
-        StartTimes { max_delay: rules.slow_start_window.mul_f64(windows) }
+        StartTimes {
+            max_delay: rules.slow_start_window.mul_f64(windows),
+        }
     }
 
     /// When an endpoint started that is heard of at `now`, or is listed with another start than before;
--- a/crates/balancer/src/routing/starting_capacity.rs
+++ b/crates/balancer/src/routing/starting_capacity.rs
@@ -17,12 +17,17 @@
 impl StartingCapacity {
     /// As the rules of the site say.
     pub fn new(rules: &Rules) -> Self {
-        StartingCapacity { initial: rules.initial_capacity, window: rules.slow_start_window.as_secs_f64() }
+        StartingCapacity {
+            initial: rules.initial_capacity,
+            window: rules.slow_start_window.as_secs_f64(),
+        }
     }
 
     /// The fraction of its capacity that the endpoint has for certain.
     pub fn at(&self, endpoint: &Endpoint, now: Duration) -> f64 {
-        let Some(started) = endpoint.started else { return 1.0 };
+        let Some(started) = endpoint.started else {
+            return 1.0;
+        };
         let age = now.saturating_sub(started).as_secs_f64();
         let grown = age / self.window.max(1e-6);
         (self.initial + (1.0 - self.initial) * grown).min(1.0)
--- a/crates/balancer/src/routing/subset.rs
+++ b/crates/balancer/src/routing/subset.rs
@@ -34,10 +34,15 @@
 impl Subset {
     /// Before the first send.
     pub fn new(settings: &Settings) -> Self {
-        let per_send = if settings.loads_are_polled() { SIGHTINGS_PER_SEND_WITH_CHECKS } else { 1.0 };
+        let per_send = if settings.loads_are_polled() {
+            SIGHTINGS_PER_SEND_WITH_CHECKS
+        } else {
+            1.0
+        };
         let window = settings.rate_window();
         Subset {
-            affordable_connections: PRICED_CONNECTIONS * CONNECTION_BUDGET / settings.prices.connections,
+            affordable_connections: PRICED_CONNECTIONS * CONNECTION_BUDGET
+                / settings.prices.connections,
             node_count: f64::from(settings.node_count),
             sightings: SIGHTINGS / per_send,
             window,
--- a/crates/balancer/src/settings/error.rs
+++ b/crates/balancer/src/settings/error.rs
@@ -25,14 +25,24 @@
 impl From<serde_path_to_error::Error<serde_json::Error>> for JsonError {
     fn from(error: serde_path_to_error::Error<serde_json::Error>) -> Self {
         let is_whole_text = error.path().iter().next().is_none();
-        let key = if is_whole_text { String::new() } else { error.path().to_string() };
-        JsonError { key, cause: error.into_inner() }
+        let key = if is_whole_text {
+            String::new()
+        } else {
+            error.path().to_string()
+        };
+        JsonError {
+            key,
+            cause: error.into_inner(),
+        }
     }
 }
 
 impl From<serde_json::Error> for JsonError {
     fn from(cause: serde_json::Error) -> Self {
-        JsonError { key: String::new(), cause }
+        JsonError {
+            key: String::new(),
+            cause,
+        }
     }
 }
 
--- a/crates/balancer/src/settings/file.rs
+++ b/crates/balancer/src/settings/file.rs
@@ -3,7 +3,8 @@
 
 use super::error::{JsonError, SettingsError};
 use super::model::{
-    Goal, Idempotency, Limits, LoadReportSource, Prices, RequestClass, Rules, Scope, Settings, Tenant,
+    Goal, Idempotency, Limits, LoadReportSource, Prices, RequestClass, Rules, Scope, Settings,
+    Tenant,
 };
 use super::report_column::Column;
 use serde::Deserialize;
@@ -294,7 +295,10 @@
         late_weight: raw.late_worth,
         idempotency: match raw.idempotency {
             RawIdempotency::Free => Idempotency::Idempotent,
-            RawIdempotency::Guarded => Idempotency::Keyed { scope, window: millis(raw.window) },
+            RawIdempotency::Guarded => Idempotency::Keyed {
+                scope,
+                window: millis(raw.window),
+            },
             RawIdempotency::SingleShot => Idempotency::NotIdempotent,
         },
         streamed: raw.stream,
@@ -302,7 +306,10 @@
 }
 
 fn tenant(raw: &RawTenant) -> Tenant {
-    Tenant { quota_per_s: raw.allowance_per_s, quota_share: raw.share }
+    Tenant {
+        quota_per_s: raw.allowance_per_s,
+        quota_share: raw.share,
+    }
 }
 
 fn limits(raw: &RawLimits) -> Limits {
--- a/crates/balancer/src/settings/mod.rs
+++ b/crates/balancer/src/settings/mod.rs
@@ -8,6 +8,7 @@
 pub use error::{JsonError, SettingsError};
 pub use file::{Site, from_json, millis, parse};
 pub use model::{
-    Goal, Idempotency, Limits, LoadReportSource, Prices, RequestClass, Rules, Scope, Settings, Tenant,
+    Goal, Idempotency, Limits, LoadReportSource, Prices, RequestClass, Rules, Scope, Settings,
+    Tenant,
 };
 pub use report_column::Column;
--- a/crates/balancer/src/settings/model.rs
+++ b/crates/balancer/src/settings/model.rs
@@ -216,7 +216,10 @@
                 poll_interval: Duration::from_secs(10),
             },
             prices: Prices::default(),
-            goal: Goal { whole: 1.0, ..Goal::default() },
+            goal: Goal {
+                whole: 1.0,
+                ..Goal::default()
+            },
             poll_endpoints: false,
             tick: Duration::from_millis(1),
         }
--- a/crates/balancer/tests/action_digest.rs
+++ b/crates/balancer/tests/action_digest.rs
@@ -15,8 +15,16 @@
     settings.rules.initial_capacity = 0.3;
     settings.rules.slow_start_window = ms(8_500);
     settings.rules.overload_factor = 4.0;
-    settings.tenants =
-        vec![Tenant { quota_per_s: 100.0, quota_share: 0.5 }, Tenant { quota_per_s: 10.0, quota_share: 0.1 }];
+    settings.tenants = vec![
+        Tenant {
+            quota_per_s: 100.0,
+            quota_share: 0.5,
+        },
+        Tenant {
+            quota_per_s: 10.0,
+            quota_share: 0.1,
+        },
+    ];
     settings.over_quota_weight = 0.1;
     settings.goal.worst_class = 0.1;
     settings.limits.max_retry_after = Some(ms(2_000));
@@ -29,8 +37,15 @@
 
 /// Twenty seconds with a rolling replacement of endpoints, and all nodes restarted meanwhile.
 fn play(settings: &Settings, nodes: u32, seed: u64) -> (usize, String) {
-    let config =
-        FleetConfig { settings, nodes, endpoints: 24, capacity: 25.0, rate: 400.0, seed, faults: true };
+    let config = FleetConfig {
+        settings,
+        nodes,
+        endpoints: 24,
+        capacity: 25.0,
+        rate: 400.0,
+        seed,
+        faults: true,
+    };
     let mut fleet = FleetSimulation::new(config);
     fleet.advance(ms(5_000));
     fleet.replace_endpoints(0..6, 24..30);
@@ -43,9 +58,13 @@
 
 /// What fleets of one and of twelve nodes do with these settings, for each seed.
 fn digests(settings: &Settings) -> Vec<String> {
-    let fleets = [1, 12].into_iter().flat_map(|nodes| SEEDS.map(|seed| (nodes, seed)));
+    let fleets = [1, 12]
+        .into_iter()
+        .flat_map(|nodes| SEEDS.map(|seed| (nodes, seed)));
     let played = fleets.map(|(nodes, seed)| play(settings, nodes, seed));
-    played.map(|(actions, digest)| format!("{actions} actions, {digest}")).collect()
+    played
+        .map(|(actions, digest)| format!("{actions} actions, {digest}"))
+        .collect()
 }
 
 #[test]
@@ -63,7 +82,10 @@
 
 #[test]
 fn lists_polled_and_loads_reported_by_health_checks() {
-    let settings = Settings { poll_endpoints: true, ..site(health_check_settings(), false) };
+    let settings = Settings {
+        poll_endpoints: true,
+        ..site(health_check_settings(), false)
+    };
     assert_eq!(
         digests(&settings),
         [
@@ -90,7 +112,10 @@
 
 #[test]
 fn lists_polled_and_no_load_reports() {
-    let settings = Settings { poll_endpoints: true, ..site(settings(), false) };
+    let settings = Settings {
+        poll_endpoints: true,
+        ..site(settings(), false)
+    };
     assert_eq!(
         digests(&settings),
         [
@@ -107,7 +132,10 @@
     let mut settings = site(response_report_settings(), false);
     settings.limits.parallel_attempts = false;
     settings.limits.cancel = false;
-    settings.classes.iter_mut().for_each(|class| class.late_weight = 0.3);
+    settings
+        .classes
+        .iter_mut()
+        .for_each(|class| class.late_weight = 0.3);
     assert_eq!(
         digests(&settings),
         [
--- a/crates/balancer/tests/decisions/admission.rs
+++ b/crates/balancer/tests/decisions/admission.rs
@@ -8,7 +8,13 @@
 #[test]
 fn a_tenant_beyond_its_quota_is_shed_first() {
     let mut settings = response_report_settings();
-    settings.tenants = vec![Tenant { quota_per_s: 30.0, quota_share: 0.5 }; 2];
+    settings.tenants = vec![
+        Tenant {
+            quota_per_s: 30.0,
+            quota_share: 0.5
+        };
+        2
+    ];
     settings.over_quota_weight = 0.1;
     let mut node = NodeSimulation::with_endpoints(settings, 2);
     // Tenant 0 floods, tenant 1 keeps to its quota; crowded endpoints respond to nothing in time.
@@ -24,7 +30,10 @@
         }
     }
     let [flood, modest] = [sheds[0] as f64 / 1913.0, sheds[1] as f64 / 87.0];
-    assert!(flood > 0.3 && modest < flood, "shed: {flood} of the flood, {modest} of the modest tenant");
+    assert!(
+        flood > 0.3 && modest < flood,
+        "shed: {flood} of the flood, {modest} of the modest tenant"
+    );
 }
 
 #[test]
@@ -35,7 +44,11 @@
         node.request(1);
         node.advance(ms(1));
     }
-    assert!(node.in_flight().len() <= 4 * 2, "{} in flight at four silent endpoints", node.in_flight().len());
+    assert!(
+        node.in_flight().len() <= 4 * 2,
+        "{} in flight at four silent endpoints",
+        node.in_flight().len()
+    );
 }
 
 #[test]
@@ -53,8 +66,9 @@
                 .into_iter()
                 .filter(|(id, _)| node.since_first_attempt(*id) >= ms(answer))
                 .collect();
-            due.into_iter()
-                .for_each(|(id, attempt)| drop(node.end_attempt(id, attempt, Outcome::Served, Some(3.0))));
+            due.into_iter().for_each(|(id, attempt)| {
+                drop(node.end_attempt(id, attempt, Outcome::Served, Some(3.0)))
+            });
         }
         most
     };
@@ -122,7 +136,10 @@
         is_shed(&node.request_with(1, 0, ms(1000), Some(ms(420))).1),
         "420 ms of work, 400 to the objective"
     );
-    assert_eq!(endpoints_attempted(&node.request_with(1, 0, ms(1000), Some(ms(200))).1).len(), 1);
+    assert_eq!(
+        endpoints_attempted(&node.request_with(1, 0, ms(1000), Some(ms(200))).1).len(),
+        1
+    );
     for _ in 0..200 {
         serve_one(&mut node, 0.0);
     }
--- a/crates/balancer/tests/decisions/client_retry.rs
+++ b/crates/balancer/tests/decisions/client_retry.rs
@@ -20,8 +20,15 @@
         node.submit(new)
     };
     node.request_with(0, 0, ms(450), None); // a first attempt waits for 450 of the 1000 ms
-    assert!(is_shed(&retry(&mut node, 550)), "450 ms have gone by, the objective is 400");
-    assert_eq!(endpoints_attempted(&retry(&mut node, 650)).len(), 1, "350 ms have gone by");
+    assert!(
+        is_shed(&retry(&mut node, 550)),
+        "450 ms have gone by, the objective is 400"
+    );
+    assert_eq!(
+        endpoints_attempted(&retry(&mut node, 650)).len(),
+        1,
+        "350 ms have gone by"
+    );
     assert_eq!(
         endpoints_attempted(&retry(&mut node, 449)).len(),
         1,
@@ -38,19 +45,55 @@
     let mut next = 1_000_000;
     let mut serve = |node: &mut NodeSimulation, class: usize, left: u64, client_retry: bool| {
         next += 1;
-        let new = NewRequest { id: RequestId(next), class, remaining: ms(left), ..Default::default() };
-        let actions = node.submit(NewRequest { client_retry, ..new });
+        let new = NewRequest {
+            id: RequestId(next),
+            class,
+            remaining: ms(left),
+            ..Default::default()
+        };
+        let actions = node.submit(NewRequest {
+            client_retry,
+            ..new
+        });
         node.advance(ms(20));
         node.in_flight()
             .into_iter()
             .for_each(|(id, i)| drop(node.end_attempt(id, i, Outcome::Served, Some(0.0))));
         endpoints_attempted(&actions).len()
     };
-    assert_eq!(serve(&mut node, short_class, 450, false), 1, "its clients wait for 450 of the 1000 ms");
-    assert_eq!(serve(&mut node, whole_class, 1000, false), 1, "theirs wait to the end");
-    assert_eq!(serve(&mut node, whole_class, 590, true), 0, "410 ms have gone by, the objective is 400");
-    assert_eq!(serve(&mut node, short_class, 450, true), 0, "it has waited as long as that at least");
-    assert_eq!(serve(&mut node, short_class, 450, false), 1, "a first attempt has not");
-    assert_eq!(serve(&mut node, whole_class, 990, true), 1, "10 ms have gone by");
-    assert_eq!(serve(&mut node, short_class, 450, true), 1, "nor need it have waited for longer");
+    assert_eq!(
+        serve(&mut node, short_class, 450, false),
+        1,
+        "its clients wait for 450 of the 1000 ms"
+    );
+    assert_eq!(
+        serve(&mut node, whole_class, 1000, false),
+        1,
+        "theirs wait to the end"
+    );
+    assert_eq!(
+        serve(&mut node, whole_class, 590, true),
+        0,
+        "410 ms have gone by, the objective is 400"
+    );
+    assert_eq!(
+        serve(&mut node, short_class, 450, true),
+        0,
+        "it has waited as long as that at least"
+    );
+    assert_eq!(
+        serve(&mut node, short_class, 450, false),
+        1,
+        "a first attempt has not"
+    );
+    assert_eq!(
+        serve(&mut node, whole_class, 990, true),
+        1,
+        "10 ms have gone by"
+    );
+    assert_eq!(
+        serve(&mut node, short_class, 450, true),
+        1,
+        "nor need it have waited for longer"
+    );
 }
--- a/crates/balancer/tests/decisions/deadline.rs
+++ b/crates/balancer/tests/decisions/deadline.rs
@@ -18,7 +18,11 @@
     let mut node = NodeSimulation::new(response_report_settings());
     let (id, _) = node.request(1);
     node.advance(ms(401));
-    assert!(node.actions.iter().any(|a| matches!(a, Action::Shed { id: it, .. } if *it == id)));
+    assert!(
+        node.actions
+            .iter()
+            .any(|a| matches!(a, Action::Shed { id: it, .. } if *it == id))
+    );
 }
 
 #[test]
--- a/crates/balancer/tests/decisions/health_checks.rs
+++ b/crates/balancer/tests/decisions/health_checks.rs
@@ -10,7 +10,10 @@
 fn a_request_waits_for_its_health_checks_and_goes_to_the_idle_endpoint() {
     let mut node = NodeSimulation::with_endpoints(health_check_settings(), 4);
     let (id, actions) = node.request(0);
-    assert!(health_checks(&actions) > 0 && endpoints_attempted(&actions).is_empty(), "{actions:?}");
+    assert!(
+        health_checks(&actions) > 0 && endpoints_attempted(&actions).is_empty(),
+        "{actions:?}"
+    );
     node.advance(ms(1));
     node.answer_health_checks(&[2]);
     assert_eq!(node.endpoint_of(id, 0), EndpointId(2));
@@ -28,11 +31,19 @@
 fn expensive_health_checks_are_spent_on_the_heaviest_requests() {
     let checks_for = |price: f64, idle: &[u64]| {
         let mut settings = health_check_settings();
-        (settings.node_count, settings.weight_by_work, settings.prices.health_check) = (100, true, price);
+        (
+            settings.node_count,
+            settings.weight_by_work,
+            settings.prices.health_check,
+        ) = (100, true, price);
         let mut node = NodeSimulation::with_endpoints(settings, 8);
         let (mut light, mut heavy) = (0, 0);
         for i in 0..120 {
-            let (work, count) = if i % 6 == 0 { (300, &mut heavy) } else { (24, &mut light) };
+            let (work, count) = if i % 6 == 0 {
+                (300, &mut heavy)
+            } else {
+                (24, &mut light)
+            };
             let (id, actions) = node.request_with(0, 0, ms(1000), Some(ms(work)));
             *count += health_checks(&actions);
             // Every attempt is answered in time.
@@ -52,7 +63,10 @@
     assert!(heavy >= 30, "{heavy} health checks for 20 heavy requests");
     for idle in [&half[..], &[]] {
         let (light, _) = checks_for(0.002, idle);
-        assert!(light >= 80, "cheap health checks are for all: {light} for 100 light requests");
+        assert!(
+            light >= 80,
+            "cheap health checks are for all: {light} for 100 light requests"
+        );
     }
 }
 
@@ -93,7 +107,8 @@
             if endpoint != 0 || step % 40 == 0 {
                 node.end_attempt(id, attempt, Outcome::Served, None);
             }
-            *used.entry(endpoint).or_insert(0) += usize::from(node.since_first_attempt(id) < ms(25));
+            *used.entry(endpoint).or_insert(0) +=
+                usize::from(node.since_first_attempt(id) < ms(25));
         }
     }
     assert!(used[&0] < 200, "{used:?}");
--- a/crates/balancer/tests/decisions/hedging.rs
+++ b/crates/balancer/tests/decisions/hedging.rs
@@ -21,7 +21,11 @@
                 .iter()
                 .filter(|a| matches!(a, Action::StartAttempt { id: i, .. } if *i == id))
                 .count();
-            assert_eq!(attempts > 1, further, "class {class}, parallel {parallel}: {attempts} attempts");
+            assert_eq!(
+                attempts > 1,
+                further,
+                "class {class}, parallel {parallel}: {attempts} attempts"
+            );
         }
     }
 }
--- a/crates/balancer/tests/decisions/idempotency.rs
+++ b/crates/balancer/tests/decisions/idempotency.rs
@@ -18,7 +18,11 @@
         let mut node = NodeSimulation::with_endpoints(response_report_settings(), 3);
         let (id, _) = node.request(1);
         let actions = node.end_attempt(id, 0, outcome, None);
-        assert_eq!(endpoints_attempted(&actions).len(), usize::from(again), "{outcome:?}");
+        assert_eq!(
+            endpoints_attempted(&actions).len(),
+            usize::from(again),
+            "{outcome:?}"
+        );
         assert_eq!(is_failed(&actions), !again, "{outcome:?}");
         assert!(!is_shed(&actions), "{outcome:?}");
     }
--- a/crates/balancer/tests/decisions/join_up_to.rs
+++ b/crates/balancer/tests/decisions/join_up_to.rs
@@ -11,7 +11,9 @@
     for seed in 0..20 {
         let mut node = NodeSimulation::with_seed(response_report_settings(), seed);
         node.update_endpoints(ListKind::Snapshot, (0..5).map(entry).collect());
-        let mut used: Vec<u64> = (0..5).flat_map(|_| endpoints_attempted(&node.request(0).1)).collect();
+        let mut used: Vec<u64> = (0..5)
+            .flat_map(|_| endpoints_attempted(&node.request(0).1))
+            .collect();
         used.sort();
         assert_eq!(used, [0, 1, 2, 3, 4]);
     }
@@ -22,10 +24,15 @@
     let first: BTreeMap<u64, u32> = (0..200).fold(BTreeMap::new(), |mut seen, seed| {
         let mut node = NodeSimulation::with_seed(response_report_settings(), seed);
         node.update_endpoints(ListKind::Snapshot, (0..4).map(entry).collect());
-        *seen.entry(endpoints_attempted(&node.request(0).1)[0]).or_default() += 1;
+        *seen
+            .entry(endpoints_attempted(&node.request(0).1)[0])
+            .or_default() += 1;
         seen
     });
-    assert!(first.len() == 4 && first.values().all(|n| (25..=80).contains(n)), "{first:?}");
+    assert!(
+        first.len() == 4 && first.values().all(|n| (25..=80).contains(n)),
+        "{first:?}"
+    );
 }
 
 #[test]
@@ -38,15 +45,25 @@
     let (id, actions) = node.request(0);
     node.end_attempt(id, 0, Outcome::Served, Some(0.0));
     for _ in 0..3 {
-        assert_eq!(vec![serve_one(&mut node, 1.0)], endpoints_attempted(&actions));
+        assert_eq!(
+            vec![serve_one(&mut node, 1.0)],
+            endpoints_attempted(&actions)
+        );
     }
 }
 
 #[test]
 fn failures_leave_the_estimate_as_it_is() {
-    let failures = [Outcome::Error, Outcome::Rejected, Outcome::TimedOut, Outcome::ConnectFailed];
+    let failures = [
+        Outcome::Error,
+        Outcome::Rejected,
+        Outcome::TimedOut,
+        Outcome::ConnectFailed,
+    ];
     // Also with a report of nothing in flight: an endpoint that returns quick errors looks idle.
-    let cases = failures.iter().flat_map(|outcome| [(*outcome, None), (*outcome, Some(0.0))]);
+    let cases = failures
+        .iter()
+        .flat_map(|outcome| [(*outcome, None), (*outcome, Some(0.0))]);
     for ((outcome, report), seed) in cases.flat_map(|case| (0..20).map(move |seed| (case, seed))) {
         let mut node = NodeSimulation::with_seed(response_report_settings(), seed);
         node.update_endpoints(ListKind::Snapshot, (0..2).map(entry).collect());
@@ -55,10 +72,16 @@
         node.end_attempt(id, 0, outcome, report);
         if node.unanswered().is_empty() {
             // The other endpoint has the lower estimate now.
-            assert_ne!(endpoints_attempted(&node.request(1).1), first, "{outcome:?} {report:?}");
+            assert_ne!(
+                endpoints_attempted(&node.request(1).1),
+                first,
+                "{outcome:?} {report:?}"
+            );
         } else {
             assert!(
-                node.in_flight().iter().all(|(id, i)| node.endpoint_of(*id, *i).0 != first[0]),
+                node.in_flight()
+                    .iter()
+                    .all(|(id, i)| node.endpoint_of(*id, *i).0 != first[0]),
                 "{outcome:?}"
             );
         }
@@ -72,7 +95,10 @@
     for _ in 0..200 {
         *used.entry(serve_one(&mut node, 3.0)).or_insert(0) += 1;
     }
-    assert!(used.len() == 4 && used.values().all(|n| (25..=80).contains(n)), "{used:?}");
+    assert!(
+        used.len() == 4 && used.values().all(|n| (25..=80).contains(n)),
+        "{used:?}"
+    );
 }
 
 #[test]
@@ -90,7 +116,11 @@
         assert!(to != busy || !node.is_answered(held));
     }
     assert_eq!(node.in_flight().len(), 1);
-    assert_ne!(endpoints_attempted(&node.request(0).1), [busy], "the idle endpoint has the lower estimate");
+    assert_ne!(
+        endpoints_attempted(&node.request(0).1),
+        [busy],
+        "the idle endpoint has the lower estimate"
+    );
 }
 
 #[test]
@@ -105,7 +135,10 @@
         node.update_endpoints(ListKind::Delta, vec![entry(number)]);
         first += usize::from(serve_one(&mut node, 1.0) == number);
     }
-    assert!(first < 20, "{first} of 40 new endpoints were joined at once");
+    assert!(
+        first < 20,
+        "{first} of 40 new endpoints were joined at once"
+    );
 }
 
 #[test]
@@ -117,7 +150,11 @@
     for _ in 0..40 {
         let ids = [node.request(1).0, node.request(1).0, node.request(1).0];
         node.advance(ms(20));
-        for id in ids.into_iter().filter(|id| node.in_flight().contains(&(*id, 0))).collect::<Vec<_>>() {
+        for id in ids
+            .into_iter()
+            .filter(|id| node.in_flight().contains(&(*id, 0)))
+            .collect::<Vec<_>>()
+        {
             node.end_attempt(id, 0, Outcome::Served, None);
         }
     }
@@ -128,7 +165,11 @@
         if endpoints_attempted(&actions).is_empty() {
             continue;
         }
-        assert_ne!(endpoints_attempted(&actions), [busy], "the free endpoint is open or none is");
+        assert_ne!(
+            endpoints_attempted(&actions),
+            [busy],
+            "the free endpoint is open or none is"
+        );
         node.advance(ms(1));
         node.end_attempt(id, 0, Outcome::Rejected, None);
     }
--- a/crates/balancer/tests/decisions/late_attempts.rs
+++ b/crates/balancer/tests/decisions/late_attempts.rs
@@ -11,7 +11,9 @@
     requests: usize,
     mut play_one: impl FnMut(&mut NodeSimulation, usize) -> Vec<Action>,
 ) -> usize {
-    (0..requests).filter(|n| is_shed(&play_one(node, *n))).count()
+    (0..requests)
+        .filter(|n| is_shed(&play_one(node, *n)))
+        .count()
 }
 
 #[test]
@@ -47,8 +49,14 @@
     // Guards against: where one class takes a second, nothing that a quick class loses within that is ever counted.
     let mut settings = response_report_settings();
     settings.limits.parallel_attempts = false;
-    (settings.classes[0].latency_objective, settings.classes[0].deadline) = (ms(100), ms(100));
-    (settings.classes[1].latency_objective, settings.classes[1].deadline) = (ms(4000), ms(4000));
+    (
+        settings.classes[0].latency_objective,
+        settings.classes[0].deadline,
+    ) = (ms(100), ms(100));
+    (
+        settings.classes[1].latency_objective,
+        settings.classes[1].deadline,
+    ) = (ms(4000), ms(4000));
     let mut node = NodeSimulation::with_endpoints(settings, 12);
     let shed = count_shed(&mut node, 400, |node, _| {
         let (slow, _) = node.request_with(1, 0, ms(4000), None);
@@ -70,7 +78,13 @@
     let mut settings = response_report_settings();
     settings.limits.parallel_attempts = false;
     let shed = |nodes: u32| {
-        let mut node = NodeSimulation::with_endpoints(Settings { node_count: nodes, ..settings.clone() }, 1);
+        let mut node = NodeSimulation::with_endpoints(
+            Settings {
+                node_count: nodes,
+                ..settings.clone()
+            },
+            1,
+        );
         count_shed(&mut node, 400, |node, n| {
             let (first, actions) = node.request(1);
             node.request(1);
@@ -97,7 +111,10 @@
     // Guards against: what has the highest priority is tried so often, by all nodes, that the overload never ends.
     let mut settings = response_report_settings();
     settings.limits.parallel_attempts = false;
-    (settings.classes[0].priority_weight, settings.classes[1].priority_weight) = (12.0, 1.0);
+    (
+        settings.classes[0].priority_weight,
+        settings.classes[1].priority_weight,
+    ) = (12.0, 1.0);
     let mut node = NodeSimulation::with_endpoints(settings, 4);
     let play_late = |node: &mut NodeSimulation, n: usize| {
         let (_, actions) = node.request(usize::from(n % 4 > 0));
@@ -109,5 +126,8 @@
     };
     count_shed(&mut node, 400, play_late);
     let shed = count_shed(&mut node, 800, play_late);
-    assert!(shed > 120, "{shed} of 200 requests of high priority were shed");
+    assert!(
+        shed > 120,
+        "{shed} of 200 requests of high priority were shed"
+    );
 }
--- a/crates/balancer/tests/decisions/late_events.rs
+++ b/crates/balancer/tests/decisions/late_events.rs
@@ -15,7 +15,12 @@
     assert!(node.in_flight().is_empty());
     assert!(node.deliver(Event::Timer { token: id.0 }).is_empty());
     let endpoint = EndpointId(77);
-    let end = HealthCheckEnd { endpoint, outcome: Outcome::Served, elapsed: ms(1), report: None };
+    let end = HealthCheckEnd {
+        endpoint,
+        outcome: Outcome::Served,
+        elapsed: ms(1),
+        report: None,
+    };
     assert!(node.deliver(Event::HealthChecked(end)).is_empty());
     let ended = AttemptEnd {
         id,
@@ -27,14 +32,25 @@
         report: None,
     };
     assert!(node.deliver(Event::AttemptEnded(ended)).is_empty());
-    assert!(node.deliver(Event::StreamStarted { id, attempt: 0, endpoint }).is_empty());
+    assert!(
+        node.deliver(Event::StreamStarted {
+            id,
+            attempt: 0,
+            endpoint
+        })
+        .is_empty()
+    );
 }
 
 /// Whatever a request waits for when its client disconnects, nothing of it is sent any more.
 #[test]
 fn nothing_is_sent_for_a_client_that_has_disconnected() {
-    let count_attempts =
-        |actions: &[Action]| actions.iter().filter(|a| matches!(a, Action::StartAttempt { .. })).count();
+    let count_attempts = |actions: &[Action]| {
+        actions
+            .iter()
+            .filter(|a| matches!(a, Action::StartAttempt { .. }))
+            .count()
+    };
     // Queued without an endpoint, which is listed just then.
     let mut node = NodeSimulation::new(response_report_settings());
     node.update_endpoints(ListKind::Snapshot, vec![]);
@@ -56,7 +72,12 @@
     assert_eq!(count_attempts(&node.actions[before..]), 0, "held");
 
     // With an attempt in flight that has no response, or ends so that a retry may follow: never sent, or failed.
-    for outcome in [None, Some(Outcome::NotSent), Some(Outcome::ConnectFailed), Some(Outcome::Error)] {
+    for outcome in [
+        None,
+        Some(Outcome::NotSent),
+        Some(Outcome::ConnectFailed),
+        Some(Outcome::Error),
+    ] {
         for cancel in [true, false] {
             let mut settings = response_report_settings();
             settings.limits.cancel = cancel;
--- a/crates/balancer/tests/decisions/outlier.rs
+++ b/crates/balancer/tests/decisions/outlier.rs
@@ -9,22 +9,26 @@
 #[test]
 fn an_endpoint_that_fails_fast_gets_no_more_requests() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
-    let used = play_requests(
-        &mut node,
-        400,
-        |endpoint| if endpoint == 0 { Outcome::Error } else { Outcome::Served },
-    );
+    let used = play_requests(&mut node, 400, |endpoint| {
+        if endpoint == 0 {
+            Outcome::Error
+        } else {
+            Outcome::Served
+        }
+    });
     assert!(used[&0] < 20, "{used:?}");
 }
 
 #[test]
 fn an_ejected_endpoint_returns_after_a_trial() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
-    play_requests(
-        &mut node,
-        100,
-        |endpoint| if endpoint == 0 { Outcome::ConnectFailed } else { Outcome::Served },
-    );
+    play_requests(&mut node, 100, |endpoint| {
+        if endpoint == 0 {
+            Outcome::ConnectFailed
+        } else {
+            Outcome::Served
+        }
+    });
     node.advance(ms(20_000));
     let used = play_requests(&mut node, 100, |_| Outcome::Served);
     assert!(used[&0] > 10, "{used:?}");
@@ -43,8 +47,11 @@
         }
     }
     (0..6).for_each(|_| drop(node.request(1)));
-    let used: BTreeSet<_> =
-        node.in_flight().iter().map(|(id, attempt)| node.endpoint_of(*id, *attempt).0).collect();
+    let used: BTreeSet<_> = node
+        .in_flight()
+        .iter()
+        .map(|(id, attempt)| node.endpoint_of(*id, *attempt).0)
+        .collect();
     assert!(used.len() >= 3, "{used:?}");
 }
 
@@ -63,8 +70,14 @@
             }
         }
     }
-    let silent = endpoints_attempted(&node.actions).iter().filter(|s| **s == 0).count();
-    assert!(silent < 20, "{silent} of 200 attempts at the silent endpoint, {used:?}");
+    let silent = endpoints_attempted(&node.actions)
+        .iter()
+        .filter(|s| **s == 0)
+        .count();
+    assert!(
+        silent < 20,
+        "{silent} of 200 attempts at the silent endpoint, {used:?}"
+    );
 }
 
 #[test]
@@ -78,7 +91,9 @@
         node.end_attempt(id, attempt, Outcome::TimedOut, None);
     }
     assert!(ids.iter().all(|id| node.is_answered(*id)));
-    let mut used: Vec<u64> = (0..6).flat_map(|_| endpoints_attempted(&node.request(1).1)).collect();
+    let mut used: Vec<u64> = (0..6)
+        .flat_map(|_| endpoints_attempted(&node.request(1).1))
+        .collect();
     used.sort();
     used.dedup();
     assert_eq!(used.len(), 6, "{used:?}");
@@ -88,10 +103,18 @@
 fn trials_of_ejected_endpoints_take_a_small_part_of_the_requests() {
     // Guards against: a quiet node with several unreachable endpoints sends most of its requests there on trial.
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 8);
-    let unreachable = |endpoint: u64| if endpoint < 3 { Outcome::ConnectFailed } else { Outcome::Served };
+    let unreachable = |endpoint: u64| {
+        if endpoint < 3 {
+            Outcome::ConnectFailed
+        } else {
+            Outcome::Served
+        }
+    };
     play_requests(&mut node, 100, unreachable);
     let used = play_requests(&mut node, 400, unreachable);
-    let trials: usize = (0..3).map(|endpoint| used.get(&endpoint).copied().unwrap_or(0)).sum();
+    let trials: usize = (0..3)
+        .map(|endpoint| used.get(&endpoint).copied().unwrap_or(0))
+        .sum();
     assert!((1..60).contains(&trials), "{used:?}");
 }
 
@@ -99,9 +122,17 @@
 fn unreachable_endpoints_are_ejected_however_many_they_are() {
     // Guards against: half of the endpoints stay in use whatever happens, though this node reaches only a few.
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 10);
-    let reach = |endpoint: u64| if endpoint < 2 { Outcome::Served } else { Outcome::ConnectFailed };
+    let reach = |endpoint: u64| {
+        if endpoint < 2 {
+            Outcome::Served
+        } else {
+            Outcome::ConnectFailed
+        }
+    };
     play_requests(&mut node, 200, reach);
     let used = play_requests(&mut node, 200, reach);
-    let reached: usize = (0..2).map(|endpoint| used.get(&endpoint).copied().unwrap_or(0)).sum();
+    let reached: usize = (0..2)
+        .map(|endpoint| used.get(&endpoint).copied().unwrap_or(0))
+        .sum();
     assert!(reached > 150, "{used:?}");
 }
--- a/crates/balancer/tests/decisions/retry.rs
+++ b/crates/balancer/tests/decisions/retry.rs
@@ -25,5 +25,8 @@
         }
     }
     let sends = endpoints_attempted(&node.actions).len();
-    assert!(sends <= 500 + 500 * 2 / 5 + 10, "{sends} sends for 500 requests");
+    assert!(
+        sends <= 500 + 500 * 2 / 5 + 10,
+        "{sends} sends for 500 requests"
+    );
 }
--- a/crates/balancer/tests/decisions/slow_start.rs
+++ b/crates/balancer/tests/decisions/slow_start.rs
@@ -27,10 +27,21 @@
     for step in 0..1500u64 {
         if step == 700 {
             let started = Some(node.now);
-            node.update_endpoints(ListKind::Delta, vec![EndpointEntry { started, ..entry(10) }]);
+            node.update_endpoints(
+                ListKind::Delta,
+                vec![EndpointEntry {
+                    started,
+                    ..entry(10)
+                }],
+            );
         }
         let (_, actions) = node.request(0);
-        sent.extend(endpoints_attempted(&actions).iter().filter(|s| **s == 10).map(|_| node.now));
+        sent.extend(
+            endpoints_attempted(&actions)
+                .iter()
+                .filter(|s| **s == 10)
+                .map(|_| node.now),
+        );
         node.advance(ms(30));
         for (id, attempt) in node.in_flight() {
             node.end_attempt(id, attempt, Outcome::Served, Some(0.0));
@@ -46,13 +57,22 @@
 #[test]
 fn endpoints_that_are_all_in_slow_start_still_serve() {
     let mut settings = response_report_settings();
-    settings.rules = Rules { initial_capacity: 0.3, slow_start_window: ms(10_000), ..settings.rules };
+    settings.rules = Rules {
+        initial_capacity: 0.3,
+        slow_start_window: ms(10_000),
+        ..settings.rules
+    };
     let mut node = NodeSimulation::with_endpoints(settings, 5);
     play_requests(&mut node, 300, |_| Outcome::Served);
     let started = Some(node.now);
     node.update_endpoints(
         ListKind::Snapshot,
-        (0..5).map(|n| EndpointEntry { started, ..entry(n) }).collect(),
+        (0..5)
+            .map(|n| EndpointEntry {
+                started,
+                ..entry(n)
+            })
+            .collect(),
     );
     let used = play_requests(&mut node, 100, |_| Outcome::Served);
     assert!(used.values().sum::<usize>() > 20, "{used:?}"); // they have three tenths of their capacity
@@ -60,14 +80,20 @@
 
 /// How many of 50 requests, in 1.5 s, go to the endpoint.
 fn requests_to(node: &mut NodeSimulation, endpoint: u64) -> usize {
-    play_requests(node, 50, |_| Outcome::Served).get(&endpoint).copied().unwrap_or_default()
+    play_requests(node, 50, |_| Outcome::Served)
+        .get(&endpoint)
+        .copied()
+        .unwrap_or_default()
 }
 
 const HOUR: Duration = Duration::from_secs(3600);
 
 /// How an endpoint's start may be listed that has happened just now, after the wall clock was stepped.
-const STEPPED: [fn(Duration) -> Duration; 3] =
-    [|now| now.saturating_sub(ms(60_000)), |now| now.saturating_sub(ms(9_000)), |now| now + HOUR];
+const STEPPED: [fn(Duration) -> Duration; 3] = [
+    |now| now.saturating_sub(ms(60_000)),
+    |now| now.saturating_sub(ms(9_000)),
+    |now| now + HOUR,
+];
 
 #[test]
 fn an_endpoint_that_appears_or_restarts_is_in_slow_start_whatever_the_wall_clock_says() {
@@ -77,15 +103,25 @@
                 let mut node = NodeSimulation::with_endpoints(ten_seconds_of_slow_start(), 10);
                 play_requests(&mut node, 700, |_| Outcome::Served);
                 let started = Some(listed_start(node.now));
-                let entries = (0..=10)
-                    .map(|n| EndpointEntry { started: if n == id { started } else { None }, ..entry(n) });
-                let entries = entries.filter(|e| kind == ListKind::Snapshot || e.id.0 == id).collect();
+                let entries = (0..=10).map(|n| EndpointEntry {
+                    started: if n == id { started } else { None },
+                    ..entry(n)
+                });
+                let entries = entries
+                    .filter(|e| kind == ListKind::Snapshot || e.id.0 == id)
+                    .collect();
                 node.update_endpoints(kind, entries);
                 let burst = requests_to(&mut node, id);
-                assert!(burst <= 4, "endpoint {id} listed as {started:?}: {burst} in the first 1.5 s");
+                assert!(
+                    burst <= 4,
+                    "endpoint {id} listed as {started:?}: {burst} in the first 1.5 s"
+                );
                 play_requests(&mut node, 400, |_| Outcome::Served);
                 let warm = (0..4).map(|_| requests_to(&mut node, id)).sum::<usize>();
-                assert!(warm >= 10, "endpoint {id} listed as {started:?}: {warm} in 6 s once it is warm");
+                assert!(
+                    warm >= 10,
+                    "endpoint {id} listed as {started:?}: {warm} in 6 s once it is warm"
+                );
             }
         }
     }
@@ -98,11 +134,20 @@
         let mut node = NodeSimulation::new(ten_seconds_of_slow_start());
         node.update_endpoints(ListKind::Cached, (0..10).map(entry).collect());
         let started = Some(listed_start(node.now));
-        let new = EndpointEntry { started, ..entry(10) };
-        node.update_endpoints(ListKind::Snapshot, (0..10).map(entry).chain([new]).collect());
+        let new = EndpointEntry {
+            started,
+            ..entry(10)
+        };
+        node.update_endpoints(
+            ListKind::Snapshot,
+            (0..10).map(entry).chain([new]).collect(),
+        );
         // A warm endpoint gets 13 or 14 of these.
         let sent = (0..3).map(|_| requests_to(&mut node, 10)).sum::<usize>();
-        assert!(sent <= 9, "listed as {started:?}: {sent} in its first 4.5 s");
+        assert!(
+            sent <= 9,
+            "listed as {started:?}: {sent} in its first 4.5 s"
+        );
     }
 }
 
@@ -115,7 +160,13 @@
     play_requests(&mut node, 700, |_| Outcome::Served);
     let listed_late = ms(2_000);
     let started = Some(node.now - listed_late);
-    node.update_endpoints(ListKind::Delta, vec![EndpointEntry { started, ..entry(10) }]);
+    node.update_endpoints(
+        ListKind::Delta,
+        vec![EndpointEntry {
+            started,
+            ..entry(10)
+        }],
+    );
     node.advance(ms(10_000) - listed_late);
     // Warm by now: it is sent requests without a permit.
     assert!(requests_to(&mut node, 10) >= 2);
--- a/crates/balancer/tests/decisions/subset.rs
+++ b/crates/balancer/tests/decisions/subset.rs
@@ -13,12 +13,18 @@
     (settings.node_count, settings.prices.connections) = (40, 0.1);
     let mut nodes_of = BTreeMap::new();
     for node_index in 0..40 {
-        let mut node =
-            NodeSimulation::with_seed(Settings { node_index, ..settings.clone() }, node_index.into());
+        let mut node = NodeSimulation::with_seed(
+            Settings {
+                node_index,
+                ..settings.clone()
+            },
+            node_index.into(),
+        );
         node.update_endpoints(ListKind::Snapshot, (0..20).map(entry).collect());
         let used: BTreeSet<u64> = (0..100).map(|_| serve_one(&mut node, 1.0)).collect();
         assert!((2..=5).contains(&used.len()), "{used:?}");
-        used.into_iter().for_each(|endpoint| *nodes_of.entry(endpoint).or_insert(0) += 1);
+        used.into_iter()
+            .for_each(|endpoint| *nodes_of.entry(endpoint).or_insert(0) += 1);
     }
     let (fewest, most) = (nodes_of.values().min(), nodes_of.values().max());
     assert!(nodes_of.len() == 20 && fewest == most, "{nodes_of:?}");
@@ -40,7 +46,10 @@
         used.len()
     };
     let (quiet, busy) = (used(400), used(20));
-    assert!((6..=10).contains(&quiet) && busy > 30, "{quiet} by a quiet node, {busy} by a busy one");
+    assert!(
+        (6..=10).contains(&quiet) && busy > 30,
+        "{quiet} by a quiet node, {busy} by a busy one"
+    );
 }
 
 #[test]
--- a/crates/balancer/tests/decisions/support.rs
+++ b/crates/balancer/tests/decisions/support.rs
@@ -14,22 +14,33 @@
 }
 
 pub fn health_checks(actions: &[Action]) -> usize {
-    actions.iter().filter(|action| matches!(action, Action::HealthCheck { .. })).count()
+    actions
+        .iter()
+        .filter(|action| matches!(action, Action::HealthCheck { .. }))
+        .count()
 }
 
 pub fn is_shed(actions: &[Action]) -> bool {
-    actions.iter().any(|action| matches!(action, Action::Shed { .. }))
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::Shed { .. }))
 }
 
 pub fn is_failed(actions: &[Action]) -> bool {
-    actions.iter().any(|action| matches!(action, Action::Fail { .. }))
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::Fail { .. }))
 }
 
 /// Sends a request and has it served at once, with a report of that many requests in flight.
 pub fn serve_one(node: &mut NodeSimulation, in_flight: f32) -> u64 {
     let (id, actions) = node.request(0);
     let attempted = endpoints_attempted(&actions);
-    assert_eq!(attempted.len(), 1, "free endpoints are sent a request at once: {actions:?}");
+    assert_eq!(
+        attempted.len(),
+        1,
+        "free endpoints are sent a request at once: {actions:?}"
+    );
     node.advance(ms(20));
     node.end_attempt(id, 0, Outcome::Served, Some(in_flight));
     attempted[0]
--- a/crates/balancer/tests/decisions/unusual_settings.rs
+++ b/crates/balancer/tests/decisions/unusual_settings.rs
@@ -6,19 +6,40 @@
 
 #[test]
 fn unusual_settings_lead_to_legal_and_sensible_actions() {
-    let one_node = Settings { node_count: 1, ..health_check_settings() };
-    let free_health_checks = Settings { prices: Prices::default(), ..health_check_settings() };
+    let one_node = Settings {
+        node_count: 1,
+        ..health_check_settings()
+    };
+    let free_health_checks = Settings {
+        prices: Prices::default(),
+        ..health_check_settings()
+    };
     let mut no_load_reports = health_check_settings();
     no_load_reports.limits.health_checks = false;
     let no_reports_at_all = settings();
     let mut no_slow_start = response_report_settings();
-    no_slow_start.rules = Rules { initial_capacity: 1.0, slow_start_window: ms(0), ..no_slow_start.rules };
-    for settings in [one_node, free_health_checks, no_load_reports, no_reports_at_all, no_slow_start] {
+    no_slow_start.rules = Rules {
+        initial_capacity: 1.0,
+        slow_start_window: ms(0),
+        ..no_slow_start.rules
+    };
+    for settings in [
+        one_node,
+        free_health_checks,
+        no_load_reports,
+        no_reports_at_all,
+        no_slow_start,
+    ] {
         let mut node = NodeSimulation::new(settings);
         let started = Some(node.now);
         node.update_endpoints(
             ListKind::Snapshot,
-            (0..4).map(|n| EndpointEntry { started, ..entry(n) }).collect(),
+            (0..4)
+                .map(|n| EndpointEntry {
+                    started,
+                    ..entry(n)
+                })
+                .collect(),
         );
         let mut served = 0;
         for _ in 0..100 {
@@ -31,6 +52,10 @@
                 served += 1;
             }
         }
-        assert!(served >= 90, "{served} of 100 served with {:?}", node.settings);
+        assert!(
+            served >= 90,
+            "{served} of 100 served with {:?}",
+            node.settings
+        );
     }
 }
--- a/crates/balancer/tests/faults.rs
+++ b/crates/balancer/tests/faults.rs
@@ -17,7 +17,11 @@
 
 /// Plays requests of all classes, one every 30 ms; `ends` says how an attempt at an endpoint ends within that
 /// time, `None` that it stays in flight. Retries are counted against their budget at the end.
-fn play(node: &mut NodeSimulation, requests: usize, ends: impl Fn(u64) -> Option<Outcome>) -> Summary {
+fn play(
+    node: &mut NodeSimulation,
+    requests: usize,
+    ends: impl Fn(u64) -> Option<Outcome>,
+) -> Summary {
     let mut summary = Summary::default();
     let before = node.actions.len();
     for i in 0..requests {
@@ -36,7 +40,10 @@
         summary.subscribed += usize::from(matches!(action, Action::Subscribe { .. }));
     }
     // Two fifths of the requests, and what has been saved up: twice the burst of a fresh node.
-    assert!(summary.attempts <= requests + requests * 2 / 5 + 10, "retries beyond their budget: {summary:?}");
+    assert!(
+        summary.attempts <= requests + requests * 2 / 5 + 10,
+        "retries beyond their budget: {summary:?}"
+    );
     summary
 }
 
@@ -59,8 +66,13 @@
 #[test]
 fn a_listed_endpoint_that_is_unreachable_is_ejected() {
     for mut node in nodes_with_endpoints(4) {
-        let summary =
-            play(&mut node, 400, |s| Some(if s == 0 { Outcome::ConnectFailed } else { Outcome::Served }));
+        let summary = play(&mut node, 400, |s| {
+            Some(if s == 0 {
+                Outcome::ConnectFailed
+            } else {
+                Outcome::Served
+            })
+        });
         assert!(summary.served >= 390, "{summary:?}");
     }
 }
@@ -68,7 +80,13 @@
 #[test]
 fn an_unreachable_zone_does_not_stop_the_others() {
     for mut node in nodes_with_endpoints(6) {
-        let ends = |s: u64| Some(if s % 3 == 0 { Outcome::ConnectFailed } else { Outcome::Served });
+        let ends = |s: u64| {
+            Some(if s % 3 == 0 {
+                Outcome::ConnectFailed
+            } else {
+                Outcome::Served
+            })
+        };
         let summary = play(&mut node, 400, ends);
         assert!(summary.served >= 380, "{summary:?}");
         assert_recovers(&mut node);
@@ -88,7 +106,10 @@
 
 #[test]
 fn a_list_that_never_comes_is_polled_with_backoff_however_many_requests_arrive() {
-    let mut node = NodeSimulation::new(Settings { poll_endpoints: true, ..health_check_settings() });
+    let mut node = NodeSimulation::new(Settings {
+        poll_endpoints: true,
+        ..health_check_settings()
+    });
     let mut subscribed = 0;
     for _ in 0..40 {
         let summary = play(&mut node, 20, |_| Some(Outcome::Served));
@@ -131,9 +152,18 @@
 fn a_deployment_during_a_stale_list_leaves_no_lasting_overload() {
     for mut node in nodes_with_endpoints(6) {
         // Three have left, and the list does not say so yet.
-        let summary = play(&mut node, 200, |s| Some(if s < 3 { Outcome::Reset } else { Outcome::Served }));
+        let summary = play(&mut node, 200, |s| {
+            Some(if s < 3 {
+                Outcome::Reset
+            } else {
+                Outcome::Served
+            })
+        });
         assert!(summary.served >= 170, "{summary:?}");
-        let starting = |number| EndpointEntry { started: Some(node.now), ..entry(number) };
+        let starting = |number| EndpointEntry {
+            started: Some(node.now),
+            ..entry(number)
+        };
         let successors = (6..9).map(starting).chain((3..6).map(entry)).collect();
         node.update_endpoints(ListKind::Snapshot, successors);
         assert_recovers(&mut node);
@@ -149,7 +179,11 @@
             let (id, _) = node.request_with(1, 0, ms(1000), Some(ms(if heavy { 390 } else { 40 })));
             node.answer_health_checks(&[]);
             node.advance(ms(40));
-            for (other, attempt) in node.in_flight().into_iter().filter(|(other, _)| *other == id || !heavy) {
+            for (other, attempt) in node
+                .in_flight()
+                .into_iter()
+                .filter(|(other, _)| *other == id || !heavy)
+            {
                 if node.endpoint_of(other, attempt).0 != 0
                     && node.since_first_attempt(other) >= ms(if other == id { 40 } else { 320 })
                 {
--- a/crates/balancer/tests/fleet_slow_start.rs
+++ b/crates/balancer/tests/fleet_slow_start.rs
@@ -7,7 +7,10 @@
 use simulation::fleet::{FleetConfig, FleetSimulation};
 
 fn settings(overload_factor: f64) -> Settings {
-    let mut settings = Settings { classes: vec![class(Idempotency::Idempotent)], ..Settings::default() };
+    let mut settings = Settings {
+        classes: vec![class(Idempotency::Idempotent)],
+        ..Settings::default()
+    };
     settings.limits.cancel = true;
     settings.rules = Rules {
         initial_capacity: 0.15,
@@ -31,7 +34,15 @@
 ) -> FleetSimulation {
     let settings = settings(overload_factor);
     let rate = load * endpoints as f64 * capacity;
-    let config = FleetConfig { settings: &settings, nodes, endpoints, capacity, rate, seed, faults: false };
+    let config = FleetConfig {
+        settings: &settings,
+        nodes,
+        endpoints,
+        capacity,
+        rate,
+        seed,
+        faults: false,
+    };
     let mut fleet = FleetSimulation::new(config);
     fleet.advance(ms(6000));
     fleet.replace_endpoints(0..endpoints / 2, endpoints..endpoints + endpoints / 2);
@@ -69,12 +80,18 @@
 fn endpoints_in_slow_start_carry_their_share_while_the_others_are_overloaded() {
     for (factor, seed) in [(1.5, 1), (1.5, 2), (2.0, 1), (2.0, 2), (4.0, 1), (4.0, 2)] {
         let fleet = rolling_deployment(350, 120, 20.0, factor, 0.9, seed);
-        let new = fleet.endpoints.values().filter(|endpoint| endpoint.entry.started.is_some());
+        let new = fleet
+            .endpoints
+            .values()
+            .filter(|endpoint| endpoint.entry.started.is_some());
         let served: usize = new.map(|endpoint| endpoint.served).sum();
         // From 0.15 of the full capacity to 0.575, 60 of them, for 10 s.
         let capacity = (0.15 + 0.575) / 2.0 * 20.0 * 60.0 * 10.0;
         let share = served as f64 / capacity;
-        assert!(share > 0.26, "factor {factor}: they served {share} of what they can");
+        assert!(
+            share > 0.26,
+            "factor {factor}: they served {share} of what they can"
+        );
     }
 }
 
@@ -83,20 +100,30 @@
 #[test]
 fn all_nodes_together_keep_to_slow_start_though_the_wall_clock_was_stepped() {
     for clock_step_ms in [-60_000, -20_000, -6_000, -2_000, 3_600_000] {
-        for (nodes, endpoints, capacity, factor) in
-            [(3, 12, 100.0, 1.5), (30, 24, 100.0, 1.5), (30, 24, 100.0, 4.0)]
-        {
+        for (nodes, endpoints, capacity, factor) in [
+            (3, 12, 100.0, 1.5),
+            (30, 24, 100.0, 1.5),
+            (30, 24, 100.0, 4.0),
+        ] {
             let settings = settings(factor);
             let rate = 0.9 * endpoints as f64 * capacity;
-            let config =
-                FleetConfig { settings: &settings, nodes, endpoints, capacity, rate, seed: 1, faults: false };
+            let config = FleetConfig {
+                settings: &settings,
+                nodes,
+                endpoints,
+                capacity,
+                rate,
+                seed: 1,
+                faults: false,
+            };
             let mut fleet = FleetSimulation::new(config);
             fleet.clock_step_ms = clock_step_ms;
             fleet.advance(ms(6000));
             fleet.replace_endpoints(0..endpoints / 2, endpoints..endpoints + endpoints / 2);
             fleet.advance(ms(10_000));
             let overload = fleet.worst_overload();
-            let case = format!("{nodes} nodes, factor {factor}, clock stepped by {clock_step_ms} ms");
+            let case =
+                format!("{nodes} nodes, factor {factor}, clock stepped by {clock_step_ms} ms");
             assert!(overload <= 0.0, "{case}: {overload} too many");
         }
     }
--- a/crates/balancer/tests/memory.rs
+++ b/crates/balancer/tests/memory.rs
@@ -21,8 +21,10 @@
         let now = ms(1000) + Duration::from_micros(number * 1500);
         if number % 10 == 0 {
             let endpoints = number / 10..number / 10 + 4;
-            let list =
-                Event::EndpointList { kind: ListKind::Snapshot, entries: endpoints.map(entry).collect() };
+            let list = Event::EndpointList {
+                kind: ListKind::Snapshot,
+                entries: endpoints.map(entry).collect(),
+            };
             balancer.handle(now, list, &mut actions);
         }
         let id = RequestId(number);
@@ -37,17 +39,30 @@
         };
         balancer.handle(now, Event::Request(new), &mut actions);
         while let Some(action) = actions.pop() {
-            let report = Some(LoadReport { in_flight: Some(0.0), ..LoadReport::default() });
+            let report = Some(LoadReport {
+                in_flight: Some(0.0),
+                ..LoadReport::default()
+            });
             let (outcome, elapsed) = (Outcome::Served, ms(1));
             let event = match action {
                 Action::StartAttempt { id, endpoint, .. } => {
-                    let end =
-                        AttemptEnd { id, attempt: 0, endpoint, outcome, elapsed, finished: true, report };
+                    let end = AttemptEnd {
+                        id,
+                        attempt: 0,
+                        endpoint,
+                        outcome,
+                        elapsed,
+                        finished: true,
+                        report,
+                    };
                     Event::AttemptEnded(end)
                 }
-                Action::HealthCheck { endpoint } => {
-                    Event::HealthChecked(HealthCheckEnd { endpoint, outcome, elapsed, report })
-                }
+                Action::HealthCheck { endpoint } => Event::HealthChecked(HealthCheckEnd {
+                    endpoint,
+                    outcome,
+                    elapsed,
+                    report,
+                }),
                 _ => continue,
             };
             balancer.handle(now, event, &mut actions);
@@ -59,7 +74,9 @@
 fn memory_does_not_grow_with_what_has_passed() {
     let mut balancer = Balancer::new(health_check_settings(), 1);
     play(&mut balancer, 1..20_000);
-    let Some(before) = resident() else { return eprintln!("no /proc here: not checked") };
+    let Some(before) = resident() else {
+        return eprintln!("no /proc here: not checked");
+    };
     play(&mut balancer, 20_000..150_000);
     let grown = resident().unwrap_or(before).saturating_sub(before);
     // One remembered request or endpoint of a hundred bytes each would be 13 MB.
--- a/crates/balancer/tests/properties.rs
+++ b/crates/balancer/tests/properties.rs
@@ -14,13 +14,30 @@
 /// One step of a history. The numbers choose among what is there at that point.
 #[derive(Clone, Debug)]
 enum Step {
-    Request { class: usize, remaining: u64, cost: Option<u64> },
-    AttemptEnd { which: usize, outcome: usize, load: Option<u8> },
-    HealthCheckEnd { load: Option<u8> },
-    ClientDisconnect { which: usize },
-    EndpointList { snapshot: bool, entries: Vec<(u64, u8, bool)> },
+    Request {
+        class: usize,
+        remaining: u64,
+        cost: Option<u64>,
+    },
+    AttemptEnd {
+        which: usize,
+        outcome: usize,
+        load: Option<u8>,
+    },
+    HealthCheckEnd {
+        load: Option<u8>,
+    },
+    ClientDisconnect {
+        which: usize,
+    },
+    EndpointList {
+        snapshot: bool,
+        entries: Vec<(u64, u8, bool)>,
+    },
     ListFailed,
-    Advance { time: u64 },
+    Advance {
+        time: u64,
+    },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -54,10 +71,18 @@
     node.update_endpoints(ListKind::Cached, (0..4).map(entry).collect());
     for step in steps {
         match step {
-            Step::Request { class, remaining, cost } => {
+            Step::Request {
+                class,
+                remaining,
+                cost,
+            } => {
                 node.request_with(*class, 0, ms(*remaining), cost.map(ms));
             }
-            Step::AttemptEnd { which, outcome, load } => {
+            Step::AttemptEnd {
+                which,
+                outcome,
+                load,
+            } => {
                 let in_flight = node.in_flight();
                 if !in_flight.is_empty() {
                     let (id, attempt) = in_flight[which % in_flight.len()];
@@ -80,20 +105,35 @@
                         _ => EndpointState::Ready,
                     };
                     let started = restarted.then_some(now);
-                    EndpointEntry { state, started, ..entry(*number) }
+                    EndpointEntry {
+                        state,
+                        started,
+                        ..entry(*number)
+                    }
                 });
-                let kind = if *snapshot { ListKind::Snapshot } else { ListKind::Delta };
-                let entries = entries.filter(|e| !snapshot || e.state != EndpointState::Removed).collect();
+                let kind = if *snapshot {
+                    ListKind::Snapshot
+                } else {
+                    ListKind::Delta
+                };
+                let entries = entries
+                    .filter(|e| !snapshot || e.state != EndpointState::Removed)
+                    .collect();
                 node.update_endpoints(kind, entries);
             }
-            Step::ListFailed => {
-                drop(node.deliver(Event::EndpointList { kind: ListKind::Failed, entries: Vec::new() }))
-            }
+            Step::ListFailed => drop(node.deliver(Event::EndpointList {
+                kind: ListKind::Failed,
+                entries: Vec::new(),
+            })),
             Step::Advance { time } => node.advance(ms(*time)),
         }
     }
     node.advance(ms(1600));
-    assert!(node.unanswered().is_empty(), "rule 1: {:?} left without an answer", node.unanswered());
+    assert!(
+        node.unanswered().is_empty(),
+        "rule 1: {:?} left without an answer",
+        node.unanswered()
+    );
     assert!(node.in_flight().is_empty());
     node.actions
 }
@@ -141,7 +181,12 @@
 
 /// Whether what was sent within a window is no more than an endpoint in slow start is allowed.
 fn check_window(in_window: f64, allowed: f64) -> Result<(), TestCaseError> {
-    prop_assert!(in_window <= allowed, "slow start: {} sent within a window, {} allowed", in_window, allowed);
+    prop_assert!(
+        in_window <= allowed,
+        "slow start: {} sent within a window, {} allowed",
+        in_window,
+        allowed
+    );
     Ok(())
 }
 
@@ -167,7 +212,10 @@
             began = Some(node.now);
             node.update_endpoints(
                 ListKind::Delta,
-                vec![EndpointEntry { started: began, ..entry(STARTING.0) }],
+                vec![EndpointEntry {
+                    started: began,
+                    ..entry(STARTING.0)
+                }],
             );
         }
         (0..*requests).for_each(|_| drop(node.request(0)));
@@ -183,8 +231,15 @@
                 }
             }
         }
-        let to_starting =
-            |action: &&Action| matches!(action, Action::StartAttempt { endpoint: STARTING, .. });
+        let to_starting = |action: &&Action| {
+            matches!(
+                action,
+                Action::StartAttempt {
+                    endpoint: STARTING,
+                    ..
+                }
+            )
+        };
         let sends = node.actions[seen..].iter().filter(to_starting).count();
         sent.extend(std::iter::repeat_n(node.now, sends));
         seen = node.actions.len();
@@ -220,7 +275,10 @@
     settings.rules.overload_factor = 1.5;
     settings.rules.overload_window = ms(1500);
     let start = |node_index: u32| {
-        let settings = Settings { node_index, ..settings.clone() };
+        let settings = Settings {
+            node_index,
+            ..settings.clone()
+        };
         let mut node = NodeSimulation::with_seed(settings, seed.wrapping_add(node_index.into()));
         node.update_endpoints(ListKind::Snapshot, (0..10).map(entry).collect());
         node
@@ -231,15 +289,25 @@
 /// Plays rounds, and returns the round of each attempt at the endpoint in slow start. Each node has a request every
 /// 500 ms, which is 400 a second in all: 40 a second for each of ten endpoints.
 fn play_rounds(nodes: &mut [NodeSimulation], rounds: Range<u32>) -> Vec<u32> {
-    let at_starting_endpoint =
-        |action: &&Action| matches!(action, Action::StartAttempt { endpoint: STARTING_ENDPOINT, .. });
+    let at_starting_endpoint = |action: &&Action| {
+        matches!(
+            action,
+            Action::StartAttempt {
+                endpoint: STARTING_ENDPOINT,
+                ..
+            }
+        )
+    };
     let mut sent = Vec::new();
     for round in rounds {
         for (index, node) in nodes.iter_mut().enumerate() {
             if index as u32 % 10 == round % 10 {
                 let before = node.actions.len();
                 node.request(0);
-                let attempts = node.actions[before..].iter().filter(at_starting_endpoint).count();
+                let attempts = node.actions[before..]
+                    .iter()
+                    .filter(at_starting_endpoint)
+                    .count();
                 sent.extend(std::iter::repeat_n(round, attempts));
             }
             node.advance(ROUND);
@@ -258,20 +326,29 @@
     play_rounds(&mut nodes, 0..200);
     for node in &mut nodes {
         let started = Some(node.now);
-        let starting = EndpointEntry { started, ..entry(STARTING_ENDPOINT.0) };
+        let starting = EndpointEntry {
+            started,
+            ..entry(STARTING_ENDPOINT.0)
+        };
         node.update_endpoints(ListKind::Delta, vec![starting]);
     }
     // Four seconds later most of the others drain.
     play_rounds(&mut nodes, 200..280);
     for node in &mut nodes {
-        let drain = |n| EndpointEntry { state: EndpointState::Draining, ..entry(n) };
+        let drain = |n| EndpointEntry {
+            state: EndpointState::Draining,
+            ..entry(n)
+        };
         node.update_endpoints(ListKind::Delta, (3..10).map(drain).collect());
     }
     let sent = play_rounds(&mut nodes, 280..340);
     let capacity = 40.0 / 0.6; // the endpoints were in use for six tenths
     for round in 310..340 {
         let fraction = 0.12 + 0.88 * f64::from(round - 200) * 0.05 / 19.0;
-        let in_window = sent.iter().filter(|at| **at <= round && **at + 30 > round).count() as f64;
+        let in_window = sent
+            .iter()
+            .filter(|at| **at <= round && **at + 30 > round)
+            .count() as f64;
         let allowed = 1.5 * fraction * capacity * 1.5;
         check_window(in_window, allowed)?;
     }
@@ -281,6 +358,7 @@
 #[test]
 fn hundreds_of_quiet_nodes_do_not_overload_an_endpoint_in_slow_start() {
     for seed in [1, 1000, 2000] {
-        play_many_nodes_before_an_endpoint_in_slow_start(seed).unwrap_or_else(|broken| panic!("{broken}"));
+        play_many_nodes_before_an_endpoint_in_slow_start(seed)
+            .unwrap_or_else(|broken| panic!("{broken}"));
     }
 }
--- a/crates/balancer/tests/simulation/fixtures.rs
+++ b/crates/balancer/tests/simulation/fixtures.rs
@@ -36,7 +36,10 @@
 /// Three nodes without load reports. Class 0 is idempotent, 1 is not, 2 is keyed within a zone, 3 within a cell,
 /// and 4 everywhere.
 pub fn settings() -> Settings {
-    let keyed = |scope| Idempotency::Keyed { scope, window: ms(300) };
+    let keyed = |scope| Idempotency::Keyed {
+        scope,
+        window: ms(300),
+    };
     let classes = [
         Idempotency::Idempotent,
         Idempotency::NotIdempotent,
@@ -44,8 +47,11 @@
         keyed(Scope::Cell),
         keyed(Scope::All),
     ];
-    let mut settings =
-        Settings { node_count: 3, classes: classes.map(class).to_vec(), ..Settings::default() };
+    let mut settings = Settings {
+        node_count: 3,
+        classes: classes.map(class).to_vec(),
+        ..Settings::default()
+    };
     settings.limits.cancel = true;
     settings.limits.parallel_attempts = true;
     settings
@@ -62,10 +68,16 @@
 
 /// Settings in which load reports come with responses.
 pub fn response_report_settings() -> Settings {
-    Settings { load_reports: LoadReportSource::Responses, ..settings() }
+    Settings {
+        load_reports: LoadReportSource::Responses,
+        ..settings()
+    }
 }
 
 /// A load report that says only how many requests an endpoint has in flight.
 pub fn in_flight_report(in_flight: f32) -> LoadReport {
-    LoadReport { in_flight: Some(in_flight), ..LoadReport::default() }
+    LoadReport {
+        in_flight: Some(in_flight),
+        ..LoadReport::default()
+    }
 }
--- a/crates/balancer/tests/simulation/fleet/action_digest.rs
+++ b/crates/balancer/tests/simulation/fleet/action_digest.rs
@@ -13,8 +13,14 @@
 impl ActionDigest {
     pub fn add(&mut self, now: Duration, node: usize, action: &Action) {
         let numbers: [u64; 4] = match action {
-            Action::StartAttempt { id, endpoint, timeout } => [1, id.0, endpoint.0, micros(timeout)],
-            Action::Shed { id, retry_after } => [2, id.0, retry_after.as_ref().map_or(0, micros), 0],
+            Action::StartAttempt {
+                id,
+                endpoint,
+                timeout,
+            } => [1, id.0, endpoint.0, micros(timeout)],
+            Action::Shed { id, retry_after } => {
+                [2, id.0, retry_after.as_ref().map_or(0, micros), 0]
+            }
             Action::Fail { id } => [3, id.0, 0, 0],
             Action::CancelAttempt { id, attempt } => [4, id.0, u64::from(*attempt), 0],
             Action::SetTimer { after, token } => [5, micros(after), *token, 0],
--- a/crates/balancer/tests/simulation/fleet/endpoint.rs
+++ b/crates/balancer/tests/simulation/fleet/endpoint.rs
@@ -48,17 +48,27 @@
 
     fn count_overload(&mut self, now: Duration, fraction: f64, capacity: f64, rules: &Rules) {
         self.recent.push_back(now);
-        while self.recent.front().is_some_and(|at| now - *at > rules.overload_window) {
+        while self
+            .recent
+            .front()
+            .is_some_and(|at| now - *at > rules.overload_window)
+        {
             self.recent.pop_front();
         }
-        let allowed = rules.overload_factor * fraction * capacity * rules.overload_window.as_secs_f64();
+        let allowed =
+            rules.overload_factor * fraction * capacity * rules.overload_window.as_secs_f64();
         let sent = self.recent.len() as f64;
-        self.worst_overload = self.worst_overload.max(sent - (allowed + 2.0 * allowed.sqrt() + 2.0));
+        self.worst_overload = self
+            .worst_overload
+            .max(sent - (allowed + 2.0 * allowed.sqrt() + 2.0));
     }
 
     /// How many requests it has in flight, by its own account.
     pub fn load_report(&self, now: Duration, capacity: f64) -> LoadReport {
         let left = self.free_at.saturating_sub(now).as_secs_f64();
-        LoadReport { in_flight: Some((left * capacity).ceil() as f32), ..LoadReport::default() }
+        LoadReport {
+            in_flight: Some((left * capacity).ceil() as f32),
+            ..LoadReport::default()
+        }
     }
 }
--- a/crates/balancer/tests/simulation/fleet/faults.rs
+++ b/crates/balancer/tests/simulation/fleet/faults.rs
@@ -29,7 +29,11 @@
         request.class = (self.draw_uniform() * self.settings.classes.len() as f64) as usize;
         request.tenant = (self.draw_uniform() * self.settings.tenants.len() as f64) as usize;
         request.client_retry = self.draw_uniform() < 0.2;
-        let part = if request.client_retry { 0.2 + self.draw_uniform() * 0.8 } else { 1.0 };
+        let part = if request.client_retry {
+            0.2 + self.draw_uniform() * 0.8
+        } else {
+            1.0
+        };
         request.remaining = self.settings.classes[request.class].deadline.mul_f64(part);
         let cost = Duration::from_secs_f64(self.draw_exponential() / self.capacity);
         request.cost_hint = (self.draw_uniform() < 0.7).then_some(cost);
@@ -62,13 +66,34 @@
 
     /// What a call for the endpoint list comes to.
     pub(super) fn draw_list_outcome(&mut self) -> Due {
-        if self.draw_uniform() < 0.3 { Due::ListFailed } else { Due::ListSnapshot }
+        if self.draw_uniform() < 0.3 {
+            Due::ListFailed
+        } else {
+            Due::ListSnapshot
+        }
     }
 
-    pub(super) fn end_health_check(&mut self, node: usize, endpoint: EndpointId, started: Duration) {
+    pub(super) fn end_health_check(
+        &mut self,
+        node: usize,
+        endpoint: EndpointId,
+        started: Duration,
+    ) {
         let elapsed = self.now - started;
-        let outcome = if self.draw_uniform() < 0.05 { Outcome::TimedOut } else { Outcome::Served };
+        let outcome = if self.draw_uniform() < 0.05 {
+            Outcome::TimedOut
+        } else {
+            Outcome::Served
+        };
         let report = (outcome == Outcome::Served).then(|| self.load_report(endpoint));
-        self.deliver(node, Event::HealthChecked(HealthCheckEnd { endpoint, outcome, elapsed, report }));
+        self.deliver(
+            node,
+            Event::HealthChecked(HealthCheckEnd {
+                endpoint,
+                outcome,
+                elapsed,
+                report,
+            }),
+        );
     }
 }
--- a/crates/balancer/tests/simulation/fleet/mod.rs
+++ b/crates/balancer/tests/simulation/fleet/mod.rs
@@ -70,7 +70,10 @@
     pub fn new(config: FleetConfig) -> Self {
         let mut fleet = FleetSimulation {
             now: Duration::from_secs(100),
-            settings: Settings { node_count: config.nodes, ..config.settings.clone() },
+            settings: Settings {
+                node_count: config.nodes,
+                ..config.settings.clone()
+            },
             capacity: config.capacity,
             nodes: Vec::new(),
             endpoints: BTreeMap::new(),
@@ -103,16 +106,25 @@
     /// The most by which any endpoint in slow start was sent more than all nodes together may send it; not above 0 if
     /// they kept to that.
     pub fn worst_overload(&self) -> f64 {
-        self.endpoints.values().map(|endpoint| endpoint.worst_overload).fold(f64::MIN, f64::max)
+        self.endpoints
+            .values()
+            .map(|endpoint| endpoint.worst_overload)
+            .fold(f64::MIN, f64::max)
     }
 
     /// Replaces endpoints by ones that start now, and tells all nodes of it.
     pub fn replace_endpoints(&mut self, removed: Range<u64>, added: Range<u64>) {
         for id in added {
-            self.add_endpoint(EndpointEntry { started: Some(self.now), ..entry(id) });
+            self.add_endpoint(EndpointEntry {
+                started: Some(self.now),
+                ..entry(id)
+            });
         }
         for id in removed {
-            let endpoint = self.endpoints.get_mut(&EndpointId(id)).expect("an endpoint");
+            let endpoint = self
+                .endpoints
+                .get_mut(&EndpointId(id))
+                .expect("an endpoint");
             endpoint.entry.state = EndpointState::Draining;
         }
         for node in 0..self.nodes.len() {
@@ -139,22 +151,33 @@
     }
 
     fn start_nodes(&mut self, count: u32, rate: f64) {
-        let weights: Vec<f64> = (0..count).map(|node| if node % 10 == 9 { 4.0 } else { 1.0 }).collect();
+        let weights: Vec<f64> = (0..count)
+            .map(|node| if node % 10 == 9 { 4.0 } else { 1.0 })
+            .collect();
         let total: f64 = weights.iter().sum();
         for (node, weight) in weights.into_iter().enumerate() {
             let balancer = self.start_balancer(node);
             let rate = rate * weight / total;
-            self.nodes.push(SimulatedNode { balancer, run: 0, attempts: BTreeMap::new(), rate });
+            self.nodes.push(SimulatedNode {
+                balancer,
+                run: 0,
+                attempts: BTreeMap::new(),
+                rate,
+            });
         }
     }
 
     fn start_balancer(&mut self, node: usize) -> Balancer {
-        let settings = Settings { node_index: node as u32, ..self.settings.clone() };
+        let settings = Settings {
+            node_index: node as u32,
+            ..self.settings.clone()
+        };
         Balancer::new(settings, self.rng.next_u64())
     }
 
     fn add_endpoint(&mut self, entry: EndpointEntry) {
-        self.endpoints.insert(entry.id, SimulatedEndpoint::new(entry, self.now));
+        self.endpoints
+            .insert(entry.id, SimulatedEndpoint::new(entry, self.now));
     }
 
     fn schedule(&mut self, at: Duration, node: usize, due: Due) {
@@ -176,12 +199,25 @@
             Due::Restart => self.restart(node),
             _ if run != self.nodes[node].run => {}
             Due::Timer { token } => self.deliver(node, Event::Timer { token }),
-            Due::AttemptEnd { id, attempt, outcome, started } => {
+            Due::AttemptEnd {
+                id,
+                attempt,
+                outcome,
+                started,
+            } => {
                 self.end_attempt(node, id, attempt, outcome, started);
             }
-            Due::HealthCheckEnd { endpoint, started } => self.end_health_check(node, endpoint, started),
+            Due::HealthCheckEnd { endpoint, started } => {
+                self.end_health_check(node, endpoint, started)
+            }
             Due::ListFailed => {
-                self.deliver(node, Event::EndpointList { kind: ListKind::Failed, entries: Vec::new() });
+                self.deliver(
+                    node,
+                    Event::EndpointList {
+                        kind: ListKind::Failed,
+                        entries: Vec::new(),
+                    },
+                );
             }
             Due::ListSnapshot => self.deliver_snapshot(node),
             Due::ClientDisconnect { id } => self.deliver(node, Event::ClientDisconnected { id }),
@@ -193,7 +229,11 @@
         let id = RequestId(self.requests as u64);
         self.nodes[node].attempts.insert(id, Vec::new());
         let remaining = self.settings.classes[0].deadline;
-        let mut request = NewRequest { id, remaining, ..NewRequest::default() };
+        let mut request = NewRequest {
+            id,
+            remaining,
+            ..NewRequest::default()
+        };
         if self.faults {
             self.vary_request(&mut request);
         }
@@ -213,8 +253,18 @@
     }
 
     fn deliver_snapshot(&mut self, node: usize) {
-        let entries = self.endpoints.values().map(|endpoint| self.listed(endpoint.entry)).collect();
-        self.deliver(node, Event::EndpointList { kind: ListKind::Snapshot, entries });
+        let entries = self
+            .endpoints
+            .values()
+            .map(|endpoint| self.listed(endpoint.entry))
+            .collect();
+        self.deliver(
+            node,
+            Event::EndpointList {
+                kind: ListKind::Snapshot,
+                entries,
+            },
+        );
     }
 
     fn listed(&self, entry: EndpointEntry) -> EndpointEntry {
@@ -223,12 +273,17 @@
             0.. => started + step,
             _ => started.saturating_sub(step),
         };
-        EndpointEntry { started: entry.started.map(shift), ..entry }
+        EndpointEntry {
+            started: entry.started.map(shift),
+            ..entry
+        }
     }
 
     fn deliver(&mut self, node: usize, event: Event) {
         let mut actions = Vec::new();
-        self.nodes[node].balancer.handle(self.now, event, &mut actions);
+        self.nodes[node]
+            .balancer
+            .handle(self.now, event, &mut actions);
         for action in actions {
             self.digest.add(self.now, node, &action);
             self.execute(node, action);
@@ -237,7 +292,11 @@
 
     fn execute(&mut self, node: usize, action: Action) {
         match action {
-            Action::StartAttempt { id, endpoint, timeout } => {
+            Action::StartAttempt {
+                id,
+                endpoint,
+                timeout,
+            } => {
                 self.start_attempt(node, id, endpoint, timeout);
             }
             Action::SetTimer { after, token } => {
@@ -246,10 +305,22 @@
             }
             Action::CancelAttempt { id, attempt } => {
                 let (attempt, outcome, started) = (attempt as usize, Outcome::Cancelled, self.now);
-                self.schedule(self.now, node, Due::AttemptEnd { id, attempt, outcome, started });
+                self.schedule(
+                    self.now,
+                    node,
+                    Due::AttemptEnd {
+                        id,
+                        attempt,
+                        outcome,
+                        started,
+                    },
+                );
             }
             Action::HealthCheck { endpoint } if self.faults => {
-                let due = Due::HealthCheckEnd { endpoint, started: self.now };
+                let due = Due::HealthCheckEnd {
+                    endpoint,
+                    started: self.now,
+                };
                 self.schedule(self.now + HEALTH_CHECK_DELAY, node, due);
             }
             Action::Subscribe { enabled: true } if self.faults => {
@@ -262,12 +333,18 @@
 
     fn start_attempt(&mut self, node: usize, id: RequestId, to: EndpointId, timeout: Duration) {
         let work = self.draw_exponential();
-        let endpoint = self.endpoints.get_mut(&to).expect("an endpoint that is listed");
+        let endpoint = self
+            .endpoints
+            .get_mut(&to)
+            .expect("an endpoint that is listed");
         let mut ends = endpoint.accept(self.now, work, self.capacity, &self.settings.rules);
         let mut outcome = Outcome::Served;
         let attempts = self.nodes[node].attempts.entry(id).or_default();
         let attempt = attempts.len();
-        attempts.push(Attempt { endpoint: to, ended: false });
+        attempts.push(Attempt {
+            endpoint: to,
+            ended: false,
+        });
         if let Some(fault) = self.draw_attempt_fault(to) {
             (ends, outcome) = (self.now + fault.after, fault.outcome);
         }
@@ -275,7 +352,16 @@
         if ends > times_out {
             (ends, outcome) = (times_out, Outcome::TimedOut);
         }
-        self.schedule(ends, node, Due::AttemptEnd { id, attempt, outcome, started: self.now });
+        self.schedule(
+            ends,
+            node,
+            Due::AttemptEnd {
+                id,
+                attempt,
+                outcome,
+                started: self.now,
+            },
+        );
     }
 
     fn end_attempt(
@@ -286,7 +372,9 @@
         outcome: Outcome,
         started: Duration,
     ) {
-        let Some(attempts) = self.nodes[node].attempts.get_mut(&id) else { return };
+        let Some(attempts) = self.nodes[node].attempts.get_mut(&id) else {
+            return;
+        };
         let attempt = &mut attempts[number];
         if std::mem::replace(&mut attempt.ended, true) {
             return; // it was cancelled
@@ -294,7 +382,10 @@
         let endpoint = attempt.endpoint;
         let served = outcome == Outcome::Served;
         self.served += usize::from(served);
-        self.endpoints.get_mut(&endpoint).expect("an endpoint").served += usize::from(served);
+        self.endpoints
+            .get_mut(&endpoint)
+            .expect("an endpoint")
+            .served += usize::from(served);
         let reports = self.settings.load_reports == LoadReportSource::Responses;
         let end = AttemptEnd {
             id,
--- a/crates/balancer/tests/simulation/fleet/schedule.rs
+++ b/crates/balancer/tests/simulation/fleet/schedule.rs
@@ -8,13 +8,25 @@
 /// Something that happens to a node.
 pub enum Due {
     Arrival,
-    Timer { token: u64 },
-    AttemptEnd { id: RequestId, attempt: usize, outcome: Outcome, started: Duration },
+    Timer {
+        token: u64,
+    },
+    AttemptEnd {
+        id: RequestId,
+        attempt: usize,
+        outcome: Outcome,
+        started: Duration,
+    },
     Restart,
-    HealthCheckEnd { endpoint: EndpointId, started: Duration },
+    HealthCheckEnd {
+        endpoint: EndpointId,
+        started: Duration,
+    },
     ListSnapshot,
     ListFailed,
-    ClientDisconnect { id: RequestId },
+    ClientDisconnect {
+        id: RequestId,
+    },
 }
 
 /// Something that is due at a node in that run of it.
--- a/crates/balancer/tests/simulation/node/mod.rs
+++ b/crates/balancer/tests/simulation/node/mod.rs
@@ -98,9 +98,19 @@
             }
         }
         for entry in &entries {
-            let since = self.listed.get(&entry.id).and_then(|listed| listed.stopped).unwrap_or(now);
+            let since = self
+                .listed
+                .get(&entry.id)
+                .and_then(|listed| listed.stopped)
+                .unwrap_or(now);
             let stopped = (entry.state != EndpointState::Ready).then_some(since);
-            self.listed.insert(entry.id, ListedEndpoint { entry: *entry, stopped });
+            self.listed.insert(
+                entry.id,
+                ListedEndpoint {
+                    entry: *entry,
+                    stopped,
+                },
+            );
         }
         self.deliver(Event::EndpointList { kind, entries })
     }
@@ -119,7 +129,15 @@
     ) -> (RequestId, Vec<Action>) {
         let id = RequestId(self.next_id);
         self.next_id += 1;
-        let request = NewRequest { id, class, tenant, key: 0, remaining, cost_hint, client_retry: false };
+        let request = NewRequest {
+            id,
+            class,
+            tenant,
+            key: 0,
+            remaining,
+            cost_hint,
+            client_retry: false,
+        };
         (id, self.submit(request))
     }
 
@@ -165,17 +183,30 @@
             return None;
         }
         let PendingHealthCheck { endpoint, started } = self.health_checks.remove(0);
-        let outcome = if in_flight.is_some() { Outcome::Served } else { Outcome::TimedOut };
+        let outcome = if in_flight.is_some() {
+            Outcome::Served
+        } else {
+            Outcome::TimedOut
+        };
         let elapsed = self.now - started;
         let report = in_flight.map(in_flight_report);
-        self.deliver(Event::HealthChecked(HealthCheckEnd { endpoint, outcome, elapsed, report }));
+        self.deliver(Event::HealthChecked(HealthCheckEnd {
+            endpoint,
+            outcome,
+            elapsed,
+            report,
+        }));
         Some(endpoint)
     }
 
     /// Answers all pending health checks: those of the named endpoints report idle, the others busy.
     pub fn answer_health_checks(&mut self, idle: &[u64]) {
         while let Some(check) = self.health_checks.first() {
-            let in_flight = if idle.contains(&check.endpoint.0) { 0.0 } else { 2.0 };
+            let in_flight = if idle.contains(&check.endpoint.0) {
+                0.0
+            } else {
+                2.0
+            };
             self.end_health_check(Some(in_flight));
         }
     }
@@ -192,7 +223,11 @@
             self.now = (self.now + self.settings.tick).min(end);
             self.fire_timers();
             self.time_out_attempts();
-            while self.health_checks.first().is_some_and(|c| self.now >= c.started + HEALTH_CHECK_TIMEOUT) {
+            while self
+                .health_checks
+                .first()
+                .is_some_and(|c| self.now >= c.started + HEALTH_CHECK_TIMEOUT)
+            {
                 self.end_health_check(None);
             }
             self.check_deadlines();
@@ -200,7 +235,11 @@
     }
 
     fn fire_timers(&mut self) {
-        while let Some((&due, _)) = self.timers.first_key_value().filter(|((at, _), _)| *at <= self.now) {
+        while let Some((&due, _)) = self
+            .timers
+            .first_key_value()
+            .filter(|((at, _), _)| *at <= self.now)
+        {
             let token = self.timers.remove(&due).expect("a timer");
             self.deliver(Event::Timer { token });
         }
@@ -242,13 +281,20 @@
 
     /// The requests that are still owed a response.
     pub fn unanswered(&self) -> Vec<RequestId> {
-        let open = self.requests.iter().filter(|(_, request)| !request.answered);
+        let open = self
+            .requests
+            .iter()
+            .filter(|(_, request)| !request.answered);
         open.map(|(id, _)| *id).collect()
     }
 
     fn execute(&mut self, action: &Action) {
         match action {
-            Action::StartAttempt { id, endpoint, timeout } => {
+            Action::StartAttempt {
+                id,
+                endpoint,
+                timeout,
+            } => {
                 self.check_attempt(*id, *endpoint);
                 self.start_attempt(*id, *endpoint, *timeout);
             }
@@ -258,7 +304,10 @@
             }
             Action::Fail { id } => self.answer(*id),
             Action::CancelAttempt { id, attempt } => {
-                assert!(self.settings.limits.cancel, "cancels where that is not allowed");
+                assert!(
+                    self.settings.limits.cancel,
+                    "cancels where that is not allowed"
+                );
                 let request = self.requests.get_mut(id).expect("a request");
                 request.attempts[*attempt as usize].times_out = self.now; // its outcome comes with the next tick
             }
@@ -269,8 +318,14 @@
                 self.timers.insert((due, self.timers_set), *token);
             }
             Action::HealthCheck { endpoint } => {
-                assert!(self.settings.limits.health_checks, "health checks where they are not allowed");
-                self.health_checks.push(PendingHealthCheck { endpoint: *endpoint, started: self.now });
+                assert!(
+                    self.settings.limits.health_checks,
+                    "health checks where they are not allowed"
+                );
+                self.health_checks.push(PendingHealthCheck {
+                    endpoint: *endpoint,
+                    started: self.now,
+                });
             }
             Action::Subscribe { .. } | Action::FetchEndpointList => {}
             other => panic!("unexpected {other:?}"),
@@ -280,11 +335,19 @@
     fn start_attempt(&mut self, id: RequestId, endpoint: EndpointId, timeout: Duration) {
         let request = self.requests.get_mut(&id).expect("a request");
         let times_out = (self.now + timeout).min(request.deadline);
-        request.attempts.push(Attempt { endpoint, started: self.now, times_out, outcome: None });
+        request.attempts.push(Attempt {
+            endpoint,
+            started: self.now,
+            times_out,
+            outcome: None,
+        });
     }
 
     fn answer(&mut self, id: RequestId) {
-        let request = self.requests.get_mut(&id).expect("rule 1: answers a request it was not given");
+        let request = self
+            .requests
+            .get_mut(&id)
+            .expect("rule 1: answers a request it was not given");
         assert!(!request.answered, "rule 1: a second response to {id:?}");
         request.answered = true;
     }
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -18,8 +18,13 @@
 impl Clock {
     /// A clock that shows the present Unix time.
     pub fn start() -> Self {
-        let unix_time_at_start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { started: Instant::now(), unix_time_at_start }
+        let unix_time_at_start = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            started: Instant::now(),
+            unix_time_at_start,
+        }
     }
 
     /// The time since the Unix epoch.
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -44,7 +44,9 @@
 impl Config {
     /// Reads the file that `PROXY_CONFIG` names.
     pub fn from_env() -> Result<Self, ConfigError> {
-        let path = std::env::var_os(FILE_VARIABLE).ok_or(ConfigError::NotSet { variable: FILE_VARIABLE })?;
+        let path = std::env::var_os(FILE_VARIABLE).ok_or(ConfigError::NotSet {
+            variable: FILE_VARIABLE,
+        })?;
         let path = PathBuf::from(path);
         match std::fs::read_to_string(&path) {
             Ok(text) => Config::parse(&text),
@@ -84,12 +86,16 @@
             ("limits", self.limits != later.limits),
             ("settings", self.site != later.site),
         ];
-        keys.into_iter().filter(|(_, differs)| *differs).map(|(key, _)| key).collect()
+        keys.into_iter()
+            .filter(|(_, differs)| *differs)
+            .map(|(key, _)| key)
+            .collect()
     }
 }
 
 fn parse_address(key: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
-    text.parse().map_err(|cause| ConfigError::InvalidAddress { key, cause })
+    text.parse()
+        .map_err(|cause| ConfigError::InvalidAddress { key, cause })
 }
 
 fn parse_seed(text: &str) -> Result<u64, ConfigError> {
@@ -112,9 +118,15 @@
     ];
     for (key, names) in lists {
         let has_empty = names.iter().any(String::is_empty);
-        let has_repeated = names.iter().enumerate().any(|(i, name)| names[..i].contains(name));
+        let has_repeated = names
+            .iter()
+            .enumerate()
+            .any(|(i, name)| names[..i].contains(name));
         if has_empty || has_repeated {
-            return Err(ConfigError::InvalidNames { key, names: names.clone() });
+            return Err(ConfigError::InvalidNames {
+                key,
+                names: names.clone(),
+            });
         }
     }
     Ok(())
@@ -122,7 +134,10 @@
 
 fn capacity(limits: &Limits) -> Result<Capacity, ConfigError> {
     if limits.sockets < MIN_SOCKETS {
-        return Err(ConfigError::TooFewSockets { sockets: limits.sockets, least: MIN_SOCKETS });
+        return Err(ConfigError::TooFewSockets {
+            sockets: limits.sockets,
+            least: MIN_SOCKETS,
+        });
     }
     let descriptors = limits.sockets.min(open_file_limit());
     Ok(Capacity::within(descriptors, limits.memory_bytes()))
--- a/crates/node/src/config/capacity/tests.rs
+++ b/crates/node/src/config/capacity/tests.rs
@@ -3,12 +3,19 @@
 const MIB: usize = 1 << 20;
 
 fn capacity(client_connections: usize, endpoint_connections: usize, body_bytes: usize) -> Capacity {
-    Capacity { client_connections, endpoint_connections, body_bytes }
+    Capacity {
+        client_connections,
+        endpoint_connections,
+        body_bytes,
+    }
 }
 
 #[test]
 fn descriptors_limit_the_connections_and_bodies_get_most_of_the_memory_left() {
-    assert_eq!(Capacity::within(1024, 192 * MIB), capacity(488, 488, 126_713_856));
+    assert_eq!(
+        Capacity::within(1024, 192 * MIB),
+        capacity(488, 488, 126_713_856)
+    );
 }
 
 #[test]
--- a/crates/node/src/config/error/tests.rs
+++ b/crates/node/src/config/error/tests.rs
@@ -6,7 +6,9 @@
 /// Parses the good configuration with `from` replaced by `to`; returns the error's text.
 fn error(from: &str, to: &str) -> String {
     assert!(GOOD.contains(from), "{from}");
-    let error = Config::parse(&GOOD.replace(from, to)).err().expect("a bad configuration");
+    let error = Config::parse(&GOOD.replace(from, to))
+        .err()
+        .expect("a bad configuration");
     error.to_string()
 }
 
@@ -14,11 +16,27 @@
 fn errors_are_one_line_that_names_the_key_and_the_cause() {
     assert!(Config::parse(GOOD).is_ok());
     let cases = [
-        ("\"127.0.0.1:0\"", "\"here\"", "listen: invalid socket address syntax"),
-        ("\"127.0.0.1:1\"", "\"there\"", "discovery: invalid socket address syntax"),
+        (
+            "\"127.0.0.1:0\"",
+            "\"here\"",
+            "listen: invalid socket address syntax",
+        ),
+        (
+            "\"127.0.0.1:1\"",
+            "\"there\"",
+            "discovery: invalid socket address syntax",
+        ),
         ("7f", "7x", "seed: invalid digit found in string"),
-        ("1024", "49", "limits.sockets: 49 sockets are too few: 50 at least"),
-        ("\"Name\":\"read\"", "\"Name\":\"\"", "settings.Classes: a name is empty or stands twice in [\"\"]"),
+        (
+            "1024",
+            "49",
+            "limits.sockets: 49 sockets are too few: 50 at least",
+        ),
+        (
+            "\"Name\":\"read\"",
+            "\"Name\":\"\"",
+            "settings.Classes: a name is empty or stands twice in [\"\"]",
+        ),
         (
             "{\"sockets\":1024}",
             "{\"sockets\":-1}",
@@ -29,7 +47,11 @@
             "\"soon\"",
             "bad settings: Classes[0].Target: invalid type: string \"soon\", expected f64 at line 1 column 42",
         ),
-        ("\"listen\"", "\"listens\"", "missing field `listen` at line 2 column 92"),
+        (
+            "\"listen\"",
+            "\"listens\"",
+            "missing field `listen` at line 2 column 92",
+        ),
     ];
     for (from, to, expected) in cases {
         assert_eq!(error(from, to), format!("bad configuration: {expected}"));
--- a/crates/node/src/config/file.rs
+++ b/crates/node/src/config/file.rs
@@ -45,6 +45,9 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { sockets: 1024, memory_mb: 192.0 }
+        Limits {
+            sockets: 1024,
+            memory_mb: 192.0,
+        }
     }
 }
--- a/crates/node/src/discovery/backoff.rs
+++ b/crates/node/src/discovery/backoff.rs
@@ -24,7 +24,11 @@
 impl Backoff {
     /// Pauses of at most `max_pause`, with jitter from `seed`.
     pub fn new(max_pause: Duration, seed: u64) -> Self {
-        Backoff { pause: MIN_PAUSE, max_pause, random: Pcg32::seed_from_u64(seed) }
+        Backoff {
+            pause: MIN_PAUSE,
+            max_pause,
+            random: Pcg32::seed_from_u64(seed),
+        }
     }
 
     /// Begins anew with the shortest pause.
--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -47,7 +47,10 @@
 impl Client {
     /// A client of the discovery that listens at `address`.
     pub fn new(address: SocketAddr, connect_timeout: Duration) -> Self {
-        Client { address, connect_timeout }
+        Client {
+            address,
+            connect_timeout,
+        }
     }
 
     /// Calls go to this address from now on.
@@ -85,16 +88,23 @@
 
     async fn exchange(&self, path: &str) -> Result<Call, ClientError> {
         let connected = timeout(self.connect_timeout, socket::connect(self.address)).await;
-        let stream = connected.map_err(|_| ClientError::ConnectTimeout)?.map_err(ClientError::Connect)?;
+        let stream = connected
+            .map_err(|_| ClientError::ConnectTimeout)?
+            .map_err(ClientError::Connect)?;
         let (socket, _) = Socket::new(stream);
         let (mut sender, driver) = http1::handshake(socket).await?;
         let connection = Connection(spawn_local(async move {
             let _ = driver.await; // an error shows in the response
         }));
         let request = Request::get(path).header(HOST, self.address.to_string());
-        let response = sender.send_request(request.body(Empty::<Bytes>::new())?).await?;
+        let response = sender
+            .send_request(request.body(Empty::<Bytes>::new())?)
+            .await?;
         match response.status() {
-            StatusCode::OK => Ok(Call { response, connection }),
+            StatusCode::OK => Ok(Call {
+                response,
+                connection,
+            }),
             status => Err(ClientError::Status(status)),
         }
     }
@@ -135,7 +145,11 @@
                 }
                 Some(WatchLine::Heartbeat) => self.deadline = ListDeadline::start(),
                 None => {
-                    let part = self.deadline.next_part(&mut self.body).await?.ok_or(ClientError::Ended)?;
+                    let part = self
+                        .deadline
+                        .next_part(&mut self.body)
+                        .await?
+                        .ok_or(ClientError::Ended)?;
                     self.framer.push(&part);
                 }
             }
--- a/crates/node/src/discovery/client/tests.rs
+++ b/crates/node/src/discovery/client/tests.rs
@@ -23,7 +23,10 @@
             )
         })
         .collect();
-    format!(r#"{{"index":41,"snapshot":true,"endpoints":[{}]}}"#, entries.join(",")) + "\n"
+    format!(
+        r#"{{"index":41,"snapshot":true,"endpoints":[{}]}}"#,
+        entries.join(",")
+    ) + "\n"
 }
 
 /// Answers one call with `pieces`, one each [`STEP`], and keeps the connection open.
@@ -43,10 +46,16 @@
 
 /// How a call and its list end that is answered with these pieces, and how long that takes.
 fn call(watched: bool, pieces: Vec<Vec<u8>>) -> (Result<Bytes, ClientError>, Duration) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .start_paused(true)
+        .build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let client = Client::new(listener.local_addr().expect("its address"), Duration::from_secs(1));
+        let client = Client::new(
+            listener.local_addr().expect("its address"),
+            Duration::from_secs(1),
+        );
         let server = spawn_local(serve_slowly(listener, pieces));
         let started = Instant::now();
         let result = if watched {
@@ -72,7 +81,11 @@
     let pieces_count = (SLOW_LIST_TIME.as_millis() / STEP.as_millis()) as usize;
     for watched in [true, false] {
         let mut pieces = vec![head(list.len())];
-        pieces.extend(list.as_bytes().chunks(list.len().div_ceil(pieces_count)).map(<[u8]>::to_vec));
+        pieces.extend(
+            list.as_bytes()
+                .chunks(list.len().div_ceil(pieces_count))
+                .map(<[u8]>::to_vec),
+        );
         let (result, elapsed) = call(watched, pieces);
         assert_eq!(result.expect("a list").len(), list.len());
         assert!(elapsed < LIST_DEADLINE, "{elapsed:?}");
@@ -90,7 +103,10 @@
             pieces.extend((0..1000).map(|_| b"{".to_vec()));
             let (result, elapsed) = call(watched, pieces);
             assert!(matches!(result, Err(ClientError::Silent)), "{result:?}");
-            assert!(elapsed <= MAX_TIME, "{elapsed:?}, head after {steps_before_head} steps");
+            assert!(
+                elapsed <= MAX_TIME,
+                "{elapsed:?}, head after {steps_before_head} steps"
+            );
         }
         // An indented list that gets another line each second, and never its end.
         let mut pieces = vec![head(1 << 20), b"{\n".to_vec()];
@@ -104,7 +120,10 @@
 #[test]
 fn an_interrupted_or_short_call_does_not_hold_up_a_list() {
     const LIST: &str = "{\"index\":8,\"snapshot\":true,\"endpoints\":[]}\n";
-    for fault in [|| InjectedFaults::errors(Errno::INTR, 2), InjectedFaults::short_reads] {
+    for fault in [
+        || InjectedFaults::errors(Errno::INTR, 2),
+        InjectedFaults::short_reads,
+    ] {
         for watched in [true, false] {
             let faults = fault();
             let (result, elapsed) = call(watched, vec![head(LIST.len()), LIST.as_bytes().to_vec()]);
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -97,14 +97,20 @@
 impl EntryParser {
     /// A parser for zones and machine kinds of these names, in the order of their numbers.
     pub fn new(zone_names: Vec<String>, kind_names: Vec<String>) -> Self {
-        EntryParser { zone_names, kind_names }
+        EntryParser {
+            zone_names,
+            kind_names,
+        }
     }
 
     /// Parses an entry.
     pub fn parse(&self, entry: Value) -> Result<ListedEndpoint, EntryError> {
         let raw: RawEntry = serde_json::from_value(entry)?;
         let Some(zone) = self.zone(&raw.zone) else {
-            return Err(EntryError::UnknownZone { name: raw.name, zone: raw.zone });
+            return Err(EntryError::UnknownZone {
+                name: raw.name,
+                zone: raw.zone,
+            });
         };
         let entry = EndpointEntry {
             id: endpoint_id(&raw.name),
@@ -116,11 +122,18 @@
             weight: raw.weight,
             started: (raw.since_ms > 0.0).then(|| millis(raw.since_ms)),
         };
-        Ok(ListedEndpoint { entry, address: raw.address })
+        Ok(ListedEndpoint {
+            entry,
+            address: raw.address,
+        })
     }
 
     fn zone(&self, name: &str) -> Option<u8> {
-        if name.is_empty() { Some(DEFAULT_ZONE) } else { position(&self.zone_names, name) }
+        if name.is_empty() {
+            Some(DEFAULT_ZONE)
+        } else {
+            position(&self.zone_names, name)
+        }
     }
 }
 
--- a/crates/node/src/discovery/endpoint_list/tests.rs
+++ b/crates/node/src/discovery/endpoint_list/tests.rs
@@ -3,8 +3,11 @@
 /// The values that the hash's authors publish for it.
 #[test]
 fn an_endpoints_number_is_the_fnv_1a_hash_of_its_name() {
-    let published =
-        [("", 0xcbf2_9ce4_8422_2325), ("a", 0xaf63_dc4c_8601_ec8c), ("foobar", 0x8594_4171_f739_67e8)];
+    let published = [
+        ("", 0xcbf2_9ce4_8422_2325),
+        ("a", 0xaf63_dc4c_8601_ec8c),
+        ("foobar", 0x8594_4171_f739_67e8),
+    ];
     for (name, hash) in published {
         assert_eq!(endpoint_id(name), EndpointId(hash), "{name}");
     }
@@ -12,7 +15,10 @@
 
 #[test]
 fn an_entry_of_an_unknown_zone_is_an_error_and_one_of_an_unknown_kind_is_not() {
-    let parser = EntryParser::new(vec!["a".to_owned(), "b".to_owned()], vec!["small".to_owned()]);
+    let parser = EntryParser::new(
+        vec!["a".to_owned(), "b".to_owned()],
+        vec!["small".to_owned()],
+    );
     let parse = |zone: &str, kind: &str| {
         parser.parse(serde_json::json!({
             "name": "s1", "address": "127.0.0.1:80", "zone": zone, "type": kind, "status": "in_service"
--- a/crates/node/src/discovery/framing.rs
+++ b/crates/node/src/discovery/framing.rs
@@ -50,13 +50,19 @@
         if self.is_complete_without_line_end() {
             return Ok(Some(self.split_list(self.unread.len())));
         }
-        if self.unread.len() > MAX_LIST_BYTES { Err(ListTooLong) } else { Ok(None) }
+        if self.unread.len() > MAX_LIST_BYTES {
+            Err(ListTooLong)
+        } else {
+            Ok(None)
+        }
     }
 
     /// The end of the line that is being read, past its line feed, once that has arrived.
     fn find_line_end(&mut self) -> Option<usize> {
         let search_start = self.line_start + self.line_searched;
-        let line_feed = self.unread[search_start..].iter().position(|byte| *byte == b'\n');
+        let line_feed = self.unread[search_start..]
+            .iter()
+            .position(|byte| *byte == b'\n');
         if line_feed.is_none() {
             self.line_searched = self.unread.len() - self.line_start;
         }
@@ -88,7 +94,8 @@
     fn is_complete_without_line_end(&self) -> bool {
         let line = &self.unread[self.line_start..];
         let ends_with_bracket = line.trim_ascii_end().ends_with(b"}");
-        ends_with_bracket && bracket_depth(line).is_some_and(|depth| self.open_brackets + depth == 0)
+        ends_with_bracket
+            && bracket_depth(line).is_some_and(|depth| self.open_brackets + depth == 0)
     }
 
     fn split_list(&mut self, end: usize) -> WatchLine {
--- a/crates/node/src/discovery/framing/tests.rs
+++ b/crates/node/src/discovery/framing/tests.rs
@@ -15,7 +15,8 @@
 }
 
 const ONE: &str = r#"{"index":1,"endpoints":[{"name":"a {[\" b"}]}"#;
-const INDENTED: &str = "{\n  \"index\": 2,\n  \"endpoints\": [\n    {\n      \"name\": \"a\"\n    }\n  ]\n}";
+const INDENTED: &str =
+    "{\n  \"index\": 2,\n  \"endpoints\": [\n    {\n      \"name\": \"a\"\n    }\n  ]\n}";
 const BY_LINE: &str = "{\"endpoints\": [\n{\"name\": \"a\"},\n{\"name\": \"b\"}\n]}";
 const FLAT: &str = "{\n\"index\": 3,\n\"endpoints\": [\n{\n\"name\": \"a\"\n}\n]\n}";
 
@@ -23,15 +24,30 @@
 fn lists_are_split_alike_in_any_format_and_in_pieces_of_any_size() {
     let text = format!("\n{ONE}\n\n{INDENTED}\n{FLAT}\n\n\n{BY_LINE}\n{ONE}");
     for size in 1..text.len() {
-        assert_eq!(split(&text, size), [ONE, INDENTED, FLAT, BY_LINE, ONE], "pieces of {size}");
+        assert_eq!(
+            split(&text, size),
+            [ONE, INDENTED, FLAT, BY_LINE, ONE],
+            "pieces of {size}"
+        );
     }
 }
 
 #[test]
 fn a_truncated_list_does_not_swallow_the_next_one() {
-    for broken in ["{\"index\":4,\"endpoints\":[", "{\n  \"index\": 4,", "noise", "]]}", "{\"index\": \"4"] {
+    for broken in [
+        "{\"index\":4,\"endpoints\":[",
+        "{\n  \"index\": 4,",
+        "noise",
+        "]]}",
+        "{\"index\": \"4",
+    ] {
         assert_eq!(split(&format!("{broken}\n{ONE}\n"), 7), [broken, ONE]);
-        assert_eq!(split(&format!("{broken}\n\n{INDENTED}\n"), 7).last().map(String::as_str), Some(INDENTED));
+        assert_eq!(
+            split(&format!("{broken}\n\n{INDENTED}\n"), 7)
+                .last()
+                .map(String::as_str),
+            Some(INDENTED)
+        );
     }
 }
 
--- a/crates/node/src/discovery/list_deadline.rs
+++ b/crates/node/src/discovery/list_deadline.rs
@@ -32,7 +32,10 @@
 impl ListDeadline {
     /// A limit that begins now.
     pub fn start() -> Self {
-        ListDeadline { started: Instant::now(), arriving: None }
+        ListDeadline {
+            started: Instant::now(),
+            arriving: None,
+        }
     }
 
     /// Runs a call until its response begins.
@@ -40,7 +43,9 @@
         &self,
         call: impl Future<Output = Result<T, ClientError>>,
     ) -> Result<T, ClientError> {
-        timeout_at(self.started + LIST_TIMEOUT, call).await.map_err(|_| ClientError::Silent)?
+        timeout_at(self.started + LIST_TIMEOUT, call)
+            .await
+            .map_err(|_| ClientError::Silent)?
     }
 
     /// The next part of a body; `None` at its end.
@@ -67,7 +72,9 @@
     }
 
     fn may_go_on(&self) -> bool {
-        let Some((first, bytes)) = self.arriving else { return false };
+        let Some((first, bytes)) = self.arriving else {
+            return false;
+        };
         let needed = first.elapsed().as_secs_f64() * MIN_BYTES_PER_S;
         bytes as f64 >= needed && self.started.elapsed() < ARRIVING_LIST_TIMEOUT
     }
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -112,7 +112,10 @@
 
     async fn start_from_cached_list(&mut self) {
         let cached_list = self.cached_list.take().unwrap_or_default();
-        if !self.apply_list(cached_list.as_bytes(), ListSource::Cached).await {
+        if !self
+            .apply_list(cached_list.as_bytes(), ListSource::Cached)
+            .await
+        {
             // The balancer has to know that the node has started, or it would never ask for a list.
             self.publish(ListKind::Cached, Vec::new()).await;
         } else if self.version > 0 {
@@ -154,7 +157,11 @@
         let endpoints = self.parse_entries(list.entries);
         self.publish(kind, endpoints).await;
         // Only now: a watch that is dropped before has not published the list, and the next one has to.
-        self.version = if kind == ListKind::Delta { version.max(self.version) } else { version };
+        self.version = if kind == ListKind::Delta {
+            version.max(self.version)
+        } else {
+            version
+        };
         if kind != ListKind::Cached || self.poll {
             self.readiness.set();
         }
--- a/crates/node/src/discovery/poll.rs
+++ b/crates/node/src/discovery/poll.rs
@@ -31,9 +31,15 @@
     ) {
         let mut subscription = Subscription::default();
         loop {
-            match self.next_poll_event(subscription, &mut commands, &mut addresses).await {
+            match self
+                .next_poll_event(subscription, &mut commands, &mut addresses)
+                .await
+            {
                 PollEvent::Command(Some(DiscoveryCommand::Subscribe(enabled))) => {
-                    subscription = Subscription { wanted: enabled, watching: enabled };
+                    subscription = Subscription {
+                        wanted: enabled,
+                        watching: enabled,
+                    };
                 }
                 PollEvent::Command(Some(DiscoveryCommand::Fetch)) => {
                     self.fetch(&mut subscription, &mut addresses).await;
@@ -67,7 +73,11 @@
     }
 
     /// Fetches the complete list once; from the new address if discovery moves meanwhile.
-    async fn fetch(&mut self, subscription: &mut Subscription, addresses: &mut watch::Receiver<SocketAddr>) {
+    async fn fetch(
+        &mut self,
+        subscription: &mut Subscription,
+        addresses: &mut watch::Receiver<SocketAddr>,
+    ) {
         let fetched = loop {
             tokio::select! {
                 fetched = self.fetch_and_apply() => break fetched,
--- a/crates/node/src/discovery/tests.rs
+++ b/crates/node/src/discovery/tests.rs
@@ -93,7 +93,10 @@
         assert!(stream.read(&mut read).await.expect("a head") > 0);
         let response = if Instant::now() >= reachable {
             sleep(BUSY).await;
-            stream.write_all(format!("{HEAD}{}", chunk(LISTED)).as_bytes()).await.expect("a node");
+            stream
+                .write_all(format!("{HEAD}{}", chunk(LISTED)).as_bytes())
+                .await
+                .expect("a node");
             return Instant::now();
         } else {
             match failure {
@@ -132,13 +135,20 @@
         let (messages, mut inbox) = mpsc::channel(64);
         let (commands, discovery_commands) = mpsc::channel(16);
         let (address_changes, addresses) = watch_channel::channel(config.discovery);
-        let upstream = Upstream::start(clock, crate::startup::upstream_options(config), Budget::new(1 << 20));
+        let upstream = Upstream::start(
+            clock,
+            crate::startup::upstream_options(config),
+            Budget::new(1 << 20),
+        );
         let options = crate::startup::dispatcher_options(config);
         let mut dispatcher = Dispatcher::new(clock, options, upstream, messages.clone(), commands);
         let dispatcher = spawn_local(async move { dispatcher.run(&mut inbox).await });
         let discovery = Discovery::new(crate::startup::discovery_options(config), messages);
         let discovery = spawn_local(discovery.run(discovery_commands, addresses));
-        TestNode { tasks: [dispatcher, discovery], _address_changes: address_changes }
+        TestNode {
+            tasks: [dispatcher, discovery],
+            _address_changes: address_changes,
+        }
     }
 }
 
@@ -156,14 +166,28 @@
     length: Duration,
     seed: u64,
 ) -> Duration {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .start_paused(true)
+        .build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let socket = TcpSocket::new_v4().expect("a socket");
-        socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
-        let config = config(socket.local_addr().expect("its address"), mode, poll_interval, seed);
+        socket
+            .bind(SocketAddr::from(([127, 0, 0, 1], 0)))
+            .expect("a port");
+        let config = config(
+            socket.local_addr().expect("its address"),
+            mode,
+            poll_interval,
+            seed,
+        );
         // The first call is not after a failed one: the failure lasts for so long from there.
         let first = Duration::from_secs(1)
-            + if mode == "ask" { millis(poll_interval as f64) / 4 } else { Duration::ZERO };
+            + if mode == "ask" {
+                millis(poll_interval as f64) / 4
+            } else {
+                Duration::ZERO
+            };
         let reachable = Instant::now() + first + length;
         let peer = spawn_local(run_discovery(socket, failure, reachable));
         let _node = TestNode::start(&config);
@@ -183,13 +207,23 @@
 fn after_any_failure_the_next_list_arrives_within_6_s_of_discovery_being_reachable() {
     // Each in a thread of its own, for they wait for the kernel.
     std::thread::scope(|threads| {
-        for (mode, poll_interval) in [("push", 10_000), ("ask", 4_000), ("ask", 10_000), ("ask", 120_000)] {
+        for (mode, poll_interval) in [
+            ("push", 10_000),
+            ("ask", 4_000),
+            ("ask", 10_000),
+            ("ask", 120_000),
+        ] {
             for failure in FAILURES {
                 threads.spawn(move || {
                     for step in 0..20 {
                         let length = Duration::from_millis(1213) * step;
-                        let without =
-                            time_without_list(mode, poll_interval, failure, length, u64::from(step));
+                        let without = time_without_list(
+                            mode,
+                            poll_interval,
+                            failure,
+                            length,
+                            u64::from(step),
+                        );
                         let case = format!("{mode} {poll_interval}, {failure:?} for {length:?}");
                         assert!(without <= LIST_DEADLINE, "{case}: {without:?}");
                     }
@@ -202,10 +236,18 @@
 /// A watch that is open ends in place of a change; returns how long the node takes for its next call.
 fn time_without_watch(mode: &str, poll_interval: u64) -> Duration {
     const WATCH_LENGTH: Duration = Duration::from_millis(1500);
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .start_paused(true)
+        .build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let config = config(listener.local_addr().expect("its address"), mode, poll_interval, 7);
+        let config = config(
+            listener.local_addr().expect("its address"),
+            mode,
+            poll_interval,
+            7,
+        );
         let _node = TestNode::start(&config);
         let (mut watch, _) = listener.accept().await.expect("a call");
         let list = format!("HTTP/1.1 200 OK\r\n\r\n{LISTED}");
@@ -221,8 +263,16 @@
 /// Far less than discovery needs for one call, while the calls of all nodes wait on one another.
 #[test]
 fn a_watch_that_ends_is_reopened_at_once() {
-    for (mode, poll_interval) in [("push", 10_000), ("ask", 4_000), ("ask", 10_000), ("ask", 120_000)] {
+    for (mode, poll_interval) in [
+        ("push", 10_000),
+        ("ask", 4_000),
+        ("ask", 10_000),
+        ("ask", 120_000),
+    ] {
         let without = time_without_watch(mode, poll_interval);
-        assert!(without < Duration::from_millis(5), "{mode} {poll_interval}: {without:?}");
+        assert!(
+            without < Duration::from_millis(5),
+            "{mode} {poll_interval}: {without:?}"
+        );
     }
 }
--- a/crates/node/src/discovery/watch.rs
+++ b/crates/node/src/discovery/watch.rs
@@ -26,7 +26,11 @@
     }
 
     /// Waits out a pause, unless discovery moves meanwhile.
-    async fn wait_to_watch_again(&mut self, pause: Duration, addresses: &mut watch::Receiver<SocketAddr>) {
+    async fn wait_to_watch_again(
+        &mut self,
+        pause: Duration,
+        addresses: &mut watch::Receiver<SocketAddr>,
+    ) {
         tokio::select! {
             () = sleep(pause) => {}
             address = next_address(addresses) => self.move_to(address),
--- a/crates/node/src/dispatcher.rs
+++ b/crates/node/src/dispatcher.rs
@@ -5,8 +5,8 @@
 use crate::clock::Clock;
 use crate::logging::{log, log_peer};
 use crate::message::{
-    AttemptResult, DiscoveryCommand, EndpointListUpdate, FinalAnswer, HealthCheckResult, IncomingRequest,
-    Message, StopReason,
+    AttemptResult, DiscoveryCommand, EndpointListUpdate, FinalAnswer, HealthCheckResult,
+    IncomingRequest, Message, StopReason,
 };
 use crate::request_table::{NewAttempt, RequestTable, Timer};
 use crate::upstream::Upstream;
@@ -103,7 +103,12 @@
     }
 
     fn on_request(&mut self, incoming: IncomingRequest) {
-        let IncomingRequest { mut request, received, forward, reply } = incoming;
+        let IncomingRequest {
+            mut request,
+            received,
+            forward,
+            reply,
+        } = incoming;
         let id = request.id;
         let queued = self.clock.now().saturating_sub(received);
         request.remaining = request.remaining.saturating_sub(queued);
@@ -121,8 +126,16 @@
     }
 
     fn on_attempt_ended(&mut self, result: AttemptResult) {
-        let AttemptResult { id, number, outcome, report, body } = result;
-        let Some(attempt) = self.requests.attempt_ended(id, number) else { return };
+        let AttemptResult {
+            id,
+            number,
+            outcome,
+            report,
+            body,
+        } = result;
+        let Some(attempt) = self.requests.attempt_ended(id, number) else {
+            return;
+        };
         // The first response that was served is the final answer; a later one only informs the balancer.
         let answers_now = match body {
             Some(body) => self.requests.answer(id, FinalAnswer::Served(body)),
@@ -140,15 +153,33 @@
     }
 
     fn on_health_check_ended(&mut self, result: HealthCheckResult) {
-        let HealthCheckResult { endpoint, outcome, started, report } = result;
+        let HealthCheckResult {
+            endpoint,
+            outcome,
+            started,
+            report,
+        } = result;
         let elapsed = self.clock.now().saturating_sub(started);
-        self.on_event(Event::HealthChecked(HealthCheckEnd { endpoint, outcome, elapsed, report }));
+        self.on_event(Event::HealthChecked(HealthCheckEnd {
+            endpoint,
+            outcome,
+            elapsed,
+            report,
+        }));
     }
 
     fn on_endpoint_list(&mut self, update: EndpointListUpdate) {
-        self.upstream.update_endpoints(update.kind, &update.endpoints);
-        let entries = update.endpoints.into_iter().map(|endpoint| endpoint.entry).collect();
-        self.on_event(Event::EndpointList { kind: update.kind, entries });
+        self.upstream
+            .update_endpoints(update.kind, &update.endpoints);
+        let entries = update
+            .endpoints
+            .into_iter()
+            .map(|endpoint| endpoint.entry)
+            .collect();
+        self.on_event(Event::EndpointList {
+            kind: update.kind,
+            entries,
+        });
     }
 
     fn on_shutdown(&mut self) {
@@ -160,7 +191,10 @@
     /// Whatever the balancer does, no request is left without an answer at its deadline.
     fn on_deadline(&mut self, id: RequestId) {
         if self.requests.answer(id, FinalAnswer::TimedOut) {
-            log_peer(format_args!("request {}: deadline exceeded without a final answer", id.0));
+            log_peer(format_args!(
+                "request {}: deadline exceeded without a final answer",
+                id.0
+            ));
             self.on_event(Event::ClientDisconnected { id });
         }
     }
@@ -180,7 +214,11 @@
     /// Carries out an action. An attempt that cannot even start ends at once, with the event returned.
     fn execute(&mut self, action: Action) -> Option<Event> {
         match action {
-            Action::StartAttempt { id, endpoint, timeout } => {
+            Action::StartAttempt {
+                id,
+                endpoint,
+                timeout,
+            } => {
                 return self.start_attempt(id, endpoint, timeout);
             }
             Action::Shed { id, retry_after } => {
@@ -190,14 +228,20 @@
                 self.requests.answer(id, FinalAnswer::Failed);
             }
             Action::CancelAttempt { id, attempt } => {
-                self.requests.stop_attempt(id, attempt, StopReason::Cancelled);
+                self.requests
+                    .stop_attempt(id, attempt, StopReason::Cancelled);
             }
             Action::SetTimer { after, token } => {
-                self.requests.set_timer(self.clock.now() + after, Timer::Balancer(token));
+                self.requests
+                    .set_timer(self.clock.now() + after, Timer::Balancer(token));
             }
             Action::HealthCheck { endpoint } => self.start_health_check(endpoint),
-            Action::CloseIdleConnections { endpoint } => self.upstream.close_idle_connections(endpoint),
-            Action::Subscribe { enabled } => self.command_discovery(DiscoveryCommand::Subscribe(enabled)),
+            Action::CloseIdleConnections { endpoint } => {
+                self.upstream.close_idle_connections(endpoint)
+            }
+            Action::Subscribe { enabled } => {
+                self.command_discovery(DiscoveryCommand::Subscribe(enabled))
+            }
             Action::FetchEndpointList => self.command_discovery(DiscoveryCommand::Fetch),
             // Nodes exchange no messages: the balancer sends none, and the protocol allows none.
             Action::SendToPeer { .. } => log("a message to another node was dropped"),
@@ -206,15 +250,39 @@
         None
     }
 
-    fn start_attempt(&mut self, id: RequestId, endpoint: EndpointId, timeout: Duration) -> Option<Event> {
+    fn start_attempt(
+        &mut self,
+        id: RequestId,
+        endpoint: EndpointId,
+        timeout: Duration,
+    ) -> Option<Event> {
         let now = self.clock.now();
-        match self.requests.start_attempt(id, endpoint, now, self.max_attempts)? {
-            NewAttempt::Started { number, forward, stopped } => {
+        match self
+            .requests
+            .start_attempt(id, endpoint, now, self.max_attempts)?
+        {
+            NewAttempt::Started {
+                number,
+                forward,
+                stopped,
+            } => {
                 let expires_at = attempt_end(now, timeout, forward.deadline);
-                self.spawn_attempt(Attempt { id, number, endpoint, expires_at, forward }, stopped);
+                self.spawn_attempt(
+                    Attempt {
+                        id,
+                        number,
+                        endpoint,
+                        expires_at,
+                        forward,
+                    },
+                    stopped,
+                );
                 None
             }
-            NewAttempt::Refused { number, is_answered } => Some(Event::AttemptEnded(AttemptEnd {
+            NewAttempt::Refused {
+                number,
+                is_answered,
+            } => Some(Event::AttemptEnded(AttemptEnd {
                 id,
                 attempt: number,
                 endpoint,
@@ -227,7 +295,10 @@
     }
 
     fn spawn_attempt(&mut self, attempt: Attempt, stopped: oneshot::Receiver<StopReason>) {
-        self.requests.set_timer(attempt.expires_at, Timer::AttemptTimeout(attempt.id, attempt.number));
+        self.requests.set_timer(
+            attempt.expires_at,
+            Timer::AttemptTimeout(attempt.id, attempt.number),
+        );
         let upstream = self.upstream.clone();
         let messages = self.messages.clone();
         spawn_local(async move {
@@ -255,7 +326,11 @@
 
 /// When an attempt that starts now is stopped: at its timeout, if it has one, but at the deadline at the latest.
 fn attempt_end(now: Duration, timeout: Duration, deadline: Duration) -> Duration {
-    if timeout.is_zero() { deadline } else { deadline.min(now + timeout) }
+    if timeout.is_zero() {
+        deadline
+    } else {
+        deadline.min(now + timeout)
+    }
 }
 
 #[cfg(test)]
--- a/crates/node/src/dispatcher/tests.rs
+++ b/crates/node/src/dispatcher/tests.rs
@@ -6,7 +6,9 @@
 
 use super::*;
 use crate::message::ListedEndpoint;
-use host::{BODY, CORRECT, DEADLINE, Host, Peers, READ, SETTLED, SUBMIT, TARGET, config, in_virtual_time};
+use host::{
+    BODY, CORRECT, DEADLINE, Host, Peers, READ, SETTLED, SUBMIT, TARGET, config, in_virtual_time,
+};
 use scripted_endpoint::listed;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -21,10 +23,15 @@
 fn a_request_shed_on_a_timer_leaves_nothing() {
     in_virtual_time(async {
         let mut host = Host::start(&config("pull", 0.0));
-        host.run(async |peers| peers.list(ListKind::Snapshot, vec![]).await).await;
+        host.run(async |peers| peers.list(ListKind::Snapshot, vec![]).await)
+            .await;
         let before = host.usage();
         let (_, pending) = host.request_and_advance(SUBMIT, "ok", TARGET / 2).await;
-        assert_eq!(host.usage().0.requests, 1, "it waits for a server to be listed");
+        assert_eq!(
+            host.usage().0.requests,
+            1,
+            "it waits for a server to be listed"
+        );
         assert_eq!(host.usage().1, BODY);
         let answer = host.run(async |_| pending.await.expect("an answer")).await;
         assert!(is_shed(&answer), "{answer:?}");
@@ -37,7 +44,8 @@
     in_virtual_time(async {
         let mut host = Host::start(&config("pull", 0.0));
         let crowded = scripted_endpoint::start(1, "inflight=50,queue=40").await;
-        host.run(async |peers| peers.list(ListKind::Snapshot, vec![crowded]).await).await;
+        host.run(async |peers| peers.list(ListKind::Snapshot, vec![crowded]).await)
+            .await;
         let before = host.usage();
         let mut refused = 0;
         for _ in 0..20 {
@@ -53,7 +61,10 @@
             host.run(async |_| sleep(SETTLED).await).await;
             assert_eq!(host.usage(), before);
         }
-        assert!(refused > 10, "a server that reports so much is not sent to: {refused} refused");
+        assert!(
+            refused > 10,
+            "a server that reports so much is not sent to: {refused} refused"
+        );
     });
 }
 
@@ -64,7 +75,8 @@
         // Nothing accepts there, so a health check takes its time.
         let lost = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let endpoint = listed(1, lost.local_addr().expect("its address"));
-        host.run(async |peers| peers.list(ListKind::Snapshot, vec![endpoint.clone()]).await).await;
+        host.run(async |peers| peers.list(ListKind::Snapshot, vec![endpoint.clone()]).await)
+            .await;
         let before = host.usage();
         let (_, pending) = host
             .run(async |peers| {
@@ -89,17 +101,25 @@
 fn a_request_answered_by_an_update_of_the_endpoint_list_leaves_nothing() {
     in_virtual_time(async {
         let mut host = Host::start(&config("pull", 0.0));
-        host.run(async |peers| peers.list(ListKind::Snapshot, vec![]).await).await;
+        host.run(async |peers| peers.list(ListKind::Snapshot, vec![]).await)
+            .await;
         let before = host.usage();
         for refuse in [true, false] {
-            let (id, answer) = host.request_and_advance(SUBMIT, "ok", Duration::from_millis(1)).await;
+            let (id, answer) = host
+                .request_and_advance(SUBMIT, "ok", Duration::from_millis(1))
+                .await;
             assert_eq!(host.usage().0.requests, 1, "it is held");
-            host.dispatcher.on_message(Message::EndpointList(EndpointListUpdate {
-                kind: ListKind::Snapshot,
-                endpoints: vec![],
-            }));
+            host.dispatcher
+                .on_message(Message::EndpointList(EndpointListUpdate {
+                    kind: ListKind::Snapshot,
+                    endpoints: vec![],
+                }));
             let retry_after = None;
-            let action = if refuse { Action::Shed { id, retry_after } } else { Action::Fail { id } };
+            let action = if refuse {
+                Action::Shed { id, retry_after }
+            } else {
+                Action::Fail { id }
+            };
             host.dispatcher.execute(action);
             assert!(answer.await.is_ok());
             assert_eq!(host.usage(), before);
@@ -113,10 +133,13 @@
         // Late responses count, so that the deadline is what ends it.
         let mut host = Host::start(&config("piggyback", 0.5));
         let silent = scripted_endpoint::start(1, "").await;
-        host.run(async |peers| peers.list(ListKind::Snapshot, vec![silent]).await).await;
+        host.run(async |peers| peers.list(ListKind::Snapshot, vec![silent]).await)
+            .await;
         let before = host.usage();
         for class in [READ, SUBMIT, CORRECT] {
-            let (_, answer) = host.request_and_advance(class, "silence", DEADLINE / 2).await;
+            let (_, answer) = host
+                .request_and_advance(class, "silence", DEADLINE / 2)
+                .await;
             assert_eq!(host.usage().0.requests, 1, "it has an attempt out");
             let answer = host.run(async |_| answer.await.expect("an answer")).await;
             assert!(!matches!(answer, FinalAnswer::Served(_)), "{answer:?}");
@@ -131,8 +154,11 @@
     in_virtual_time(async {
         let mut host = Host::start(&config("piggyback", 0.5));
         let silent = scripted_endpoint::start(1, "").await;
-        host.run(async |peers| peers.list(ListKind::Snapshot, vec![silent]).await).await;
-        let (id, _answer) = host.request_and_advance(CORRECT, "silence", DEADLINE / 2).await;
+        host.run(async |peers| peers.list(ListKind::Snapshot, vec![silent]).await)
+            .await;
+        let (id, _answer) = host
+            .request_and_advance(CORRECT, "silence", DEADLINE / 2)
+            .await;
         assert_eq!(host.usage().1, BODY);
         // The table alone, so that the attempt is not cancelled at once.
         assert!(host.dispatcher.requests.abandon(id));
@@ -169,10 +195,15 @@
         let mut host = Host::start(&config("pull", 0.5));
         let mut listed = Vec::new();
         for id in 1..=6 {
-            let load = if id % 3 == 0 { "inflight=9,queue=5" } else { "inflight=0,queue=0" };
+            let load = if id % 3 == 0 {
+                "inflight=9,queue=5"
+            } else {
+                "inflight=0,queue=0"
+            };
             listed.push(scripted_endpoint::start(id, load).await);
         }
-        host.run(async |peers| peers.list(ListKind::Snapshot, listed.clone()).await).await;
+        host.run(async |peers| peers.list(ListKind::Snapshot, listed.clone()).await)
+            .await;
         let before = host.all_usage();
         let endings: Endings = Rc::default();
         host.run(async |peers| {
@@ -180,7 +211,11 @@
                 peers.vary_list(round, &listed).await;
                 peers.request_round(round, &endings).await;
                 if round % 40 == 20 {
-                    peers.messages.send(Message::Shutdown).await.expect("the node runs");
+                    peers
+                        .messages
+                        .send(Message::Shutdown)
+                        .await
+                        .expect("the node runs");
                 }
                 sleep(ROUND).await;
             }
@@ -189,7 +224,10 @@
         .await;
         let endings = endings.borrow();
         for ending in ["served", "refused", "failed", "timed out"] {
-            assert!(endings.get(ending).is_some_and(|count| *count > 100), "{ending}: {endings:?}");
+            assert!(
+                endings.get(ending).is_some_and(|count| *count > 100),
+                "{ending}: {endings:?}"
+            );
         }
         assert_eq!(endings.get("never answered"), None);
         let after = host.all_usage();
@@ -222,10 +260,18 @@
         let mut disconnecting = Vec::new();
         for number in 0..REQUESTS {
             // Mostly ordinary ones, or every endpoint would be ejected throughout.
-            let kind = if number % 5 == 0 { (round + number / 5) % ENDINGS.len() } else { number % 3 };
+            let kind = if number % 5 == 0 {
+                (round + number / 5) % ENDINGS.len()
+            } else {
+                number % 3
+            };
             let (class, script, disconnects) = ENDINGS[kind];
             let short = number % 7 == 6;
-            let remaining = if short { Duration::from_millis(number as u64) } else { DEADLINE };
+            let remaining = if short {
+                Duration::from_millis(number as u64)
+            } else {
+                DEADLINE
+            };
             let (id, answer) = self.request(class, script, remaining).await;
             match disconnects {
                 Some(after) => disconnecting.push((id, after, answer)),
--- a/crates/node/src/dispatcher/tests/host.rs
+++ b/crates/node/src/dispatcher/tests/host.rs
@@ -31,8 +31,12 @@
             "Window":60000,"LateWorth":{late_weight}}}"#
         )
     };
-    let classes =
-        [class("read", "free"), class("submit", "guarded"), class("correct", "single_shot")].join(",");
+    let classes = [
+        class("read", "free"),
+        class("submit", "guarded"),
+        class("correct", "single_shot"),
+    ]
+    .join(",");
     let text = format!(
         r#"{{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"7","settings":{{"Classes":[{classes}],
         "NInstances":2,"Quantum":1,"Rules":{{"DrainGrace":60000}},
@@ -64,10 +68,23 @@
         let (messages, inbox) = mpsc::channel(4096);
         let (discovery, _) = mpsc::channel(16);
         let budget = Budget::new(BUDGET);
-        let upstream = Upstream::start(clock, crate::startup::upstream_options(config), budget.clone());
+        let upstream = Upstream::start(
+            clock,
+            crate::startup::upstream_options(config),
+            budget.clone(),
+        );
         let options = crate::startup::dispatcher_options(config);
         let dispatcher = Dispatcher::new(clock, options, upstream, messages.clone(), discovery);
-        Host { dispatcher, inbox, peers: Peers { clock, messages, budget, last_id: Cell::new(0) } }
+        Host {
+            dispatcher,
+            inbox,
+            peers: Peers {
+                clock,
+                messages,
+                budget,
+                last_id: Cell::new(0),
+            },
+        }
     }
 
     /// Runs the dispatcher until `scenario` has ended.
@@ -96,19 +113,32 @@
     /// What every table of the node holds: the dispatcher's, the balancer's and the pool's.
     pub fn all_usage(&self) -> ((Usage, usize), TableSizes, crate::upstream::pool::Usage) {
         let balancer = self.dispatcher.balancer.table_sizes();
-        (self.usage(), balancer, self.dispatcher.upstream.pool_usage())
+        (
+            self.usage(),
+            balancer,
+            self.dispatcher.upstream.pool_usage(),
+        )
     }
 
     /// Requests, timers, and the bytes of the memory budget that are in use.
     pub fn usage(&self) -> (Usage, usize) {
-        (self.dispatcher.requests.usage(), BUDGET - self.peers.budget.free())
+        (
+            self.dispatcher.requests.usage(),
+            BUDGET - self.peers.budget.free(),
+        )
     }
 }
 
 impl Peers {
     /// Sends an update of the endpoint list, and waits until it has been handled.
     pub async fn list(&self, kind: ListKind, endpoints: Vec<ListedEndpoint>) {
-        let sent = self.messages.send(Message::EndpointList(EndpointListUpdate { kind, endpoints })).await;
+        let sent = self
+            .messages
+            .send(Message::EndpointList(EndpointListUpdate {
+                kind,
+                endpoints,
+            }))
+            .await;
         sent.expect("the node runs");
         sleep(Duration::from_millis(1)).await;
     }
@@ -123,10 +153,20 @@
         self.last_id.set(self.last_id.get() + 1);
         let id = RequestId(self.last_id.get());
         let now = self.clock.now();
-        let (method, name) =
-            [(Method::GET, "read"), (Method::POST, "submit"), (Method::POST, "correct")][class].clone();
-        let path = format!("/{name}/{script}").parse::<PathAndQuery>().expect("a path");
-        let body = if class == READ { Bytes::new() } else { self.body() };
+        let (method, name) = [
+            (Method::GET, "read"),
+            (Method::POST, "submit"),
+            (Method::POST, "correct"),
+        ][class]
+            .clone();
+        let path = format!("/{name}/{script}")
+            .parse::<PathAndQuery>()
+            .expect("a path");
+        let body = if class == READ {
+            Bytes::new()
+        } else {
+            self.body()
+        };
         let forward = ForwardedRequest {
             method,
             path,
@@ -138,9 +178,22 @@
             first_byte: Cell::new(None),
         };
         let (reply, answer) = oneshot::channel();
-        let request = NewRequest { id, class, remaining, ..NewRequest::default() };
-        let incoming = Box::new(IncomingRequest { request, received: now, forward, reply });
-        self.messages.send(Message::Request(incoming)).await.expect("the node runs");
+        let request = NewRequest {
+            id,
+            class,
+            remaining,
+            ..NewRequest::default()
+        };
+        let incoming = Box::new(IncomingRequest {
+            request,
+            received: now,
+            forward,
+            reply,
+        });
+        self.messages
+            .send(Message::Request(incoming))
+            .await
+            .expect("the node runs");
         (id, answer)
     }
 
@@ -150,11 +203,17 @@
     }
 
     pub async fn disconnect(&self, id: RequestId) {
-        self.messages.send(Message::ClientDisconnected(id)).await.expect("the node runs");
+        self.messages
+            .send(Message::ClientDisconnected(id))
+            .await
+            .expect("the node runs");
     }
 }
 
 pub fn in_virtual_time(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .start_paused(true)
+        .build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), test);
 }
--- a/crates/node/src/dispatcher/tests/scripted_endpoint.rs
+++ b/crates/node/src/dispatcher/tests/scripted_endpoint.rs
@@ -27,7 +27,11 @@
 
 /// The list's entry for an endpoint in service.
 pub fn listed(id: u64, address: SocketAddr) -> ListedEndpoint {
-    let entry = EndpointEntry { id: EndpointId(id), state: EndpointState::Ready, ..EndpointEntry::default() };
+    let entry = EndpointEntry {
+        id: EndpointId(id),
+        state: EndpointState::Ready,
+        ..EndpointEntry::default()
+    };
     ListedEndpoint { entry, address }
 }
 
@@ -38,9 +42,14 @@
     loop {
         let script = read_request(&mut lines).await?;
         let response = match script.as_str() {
-            "stats" => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{load}", load.len()),
+            "stats" => format!(
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{load}",
+                load.len()
+            ),
             "error" => "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n".to_owned(),
-            "reject" => "HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n".to_owned(),
+            "reject" => {
+                "HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n".to_owned()
+            }
             "garble" => "HTTP/1.1 noise\r\n\r\n".to_owned(),
             "reset" => return None,
             "silence" => continue,
--- a/crates/node/src/downstream/connection.rs
+++ b/crates/node/src/downstream/connection.rs
@@ -91,23 +91,33 @@
     /// The request has its response, after which the connection is kept.
     pub fn end_request(&self) {
         self.socket.reset_first_byte();
-        self.state.set(State::Idle { since: Instant::now() });
+        self.state.set(State::Idle {
+            since: Instant::now(),
+        });
     }
 
     /// The request has its response, which is the last on this connection.
     pub fn end_last_request(&self) {
         self.socket.reset_first_byte();
-        self.state.set(State::Closing { since: Instant::now() });
+        self.state.set(State::Closing {
+            since: Instant::now(),
+        });
     }
 
     /// When the request that is being read started: the first with the accept, a later one with its first byte.
     fn request_started(&self) -> Option<Instant> {
-        if self.has_sent_request.get() { self.socket.first_byte_at() } else { Some(self.accepted) }
+        if self.has_sent_request.get() {
+            self.socket.first_byte_at()
+        } else {
+            Some(self.accepted)
+        }
     }
 
     /// Closes the connection between requests; it is aborted if its client does not end it in time.
     pub fn close(&self) {
-        self.state.set(State::Closing { since: Instant::now() });
+        self.state.set(State::Closing {
+            since: Instant::now(),
+        });
         self.shut_down_gracefully();
     }
 
@@ -143,7 +153,9 @@
     /// Aborts or closes the connection if a timeout has passed. If this node was delayed itself, a request may have
     /// arrived in time and not be read yet: so a connection with unread bytes is not aborted.
     pub fn enforce_timeouts(&self, now: Instant) {
-        let is_read_late = self.request_started().is_some_and(|started| now > started + READ_TIMEOUT);
+        let is_read_late = self
+            .request_started()
+            .is_some_and(|started| now > started + READ_TIMEOUT);
         match self.state.get() {
             State::Closing { since } if now > since + LINGER_TIMEOUT => self.abort(),
             State::Idle { .. } if is_read_late && self.socket.has_nothing_to_read() => self.abort(),
@@ -163,7 +175,10 @@
     /// The rank of an idle connection, if it is one.
     pub fn eviction_rank(&self, eviction: Eviction) -> Option<EvictionRank> {
         let idle_since = self.idle_since()?;
-        Some(EvictionRank { kind: self.idle_kind(eviction), idle_since })
+        Some(EvictionRank {
+            kind: self.idle_kind(eviction),
+            idle_since,
+        })
     }
 
     /// Since when the connection has been idle with no byte of a further request read, if it is.
--- a/crates/node/src/downstream/handler.rs
+++ b/crates/node/src/downstream/handler.rs
@@ -105,7 +105,11 @@
 
     fn readiness(&self) -> FullResponse {
         let is_ready = self.is_ready.get() && !self.phase.get().is_draining();
-        response::empty(if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
+        response::empty(if is_ready {
+            StatusCode::OK
+        } else {
+            StatusCode::SERVICE_UNAVAILABLE
+        })
     }
 
     async fn handle_call(
@@ -125,21 +129,34 @@
         let received = self.clock.now();
         // Endpoints could confuse the attempts of two requests with the same id.
         let call_id = request.call_id.clone();
-        let _open_call = self.open_calls.open(&call_id).ok_or(RequestError::CallInFlight)?;
+        let _open_call = self
+            .open_calls
+            .open(&call_id)
+            .ok_or(RequestError::CallInFlight)?;
         let answer = self.dispatch(request, body, received).await;
         Ok(response::final_answer(answer))
     }
 
     /// Passes a request to the dispatcher, and waits for its final answer.
-    async fn dispatch(&self, request: ParsedRequest, body: Bytes, received: Duration) -> FinalAnswer {
+    async fn dispatch(
+        &self,
+        request: ParsedRequest,
+        body: Bytes,
+        received: Duration,
+    ) -> FinalAnswer {
         let id = self.next_request_id();
         let (reply, answer) = oneshot::channel();
         // Reserved now, since a drop cannot wait for a slot in the dispatcher's inbox.
         let Ok(permit) = self.dispatcher.clone().reserve_owned().await else {
             return FinalAnswer::Failed;
         };
-        let mut disconnect = DisconnectGuard { id, permit: Some(permit) };
-        let message = Message::Request(Box::new(incoming_request(id, request, body, received, reply)));
+        let mut disconnect = DisconnectGuard {
+            id,
+            permit: Some(permit),
+        };
+        let message = Message::Request(Box::new(incoming_request(
+            id, request, body, received, reply,
+        )));
         if self.dispatcher.send(message).await.is_err() {
             return FinalAnswer::Failed;
         }
@@ -182,7 +199,12 @@
         cost_hint: parsed.cost,
         client_retry: parsed.is_client_retry,
     };
-    IncomingRequest { request, received, forward, reply }
+    IncomingRequest {
+        request,
+        received,
+        forward,
+        reply,
+    }
 }
 
 /// Reports the client's disconnect when it is dropped, unless it has been disarmed: when a client disconnects, the
--- a/crates/node/src/downstream/listener.rs
+++ b/crates/node/src/downstream/listener.rs
@@ -78,7 +78,11 @@
 impl<L: Listener> Acceptor<L> {
     /// An acceptor for the listener's connections.
     pub fn new(listener: L, server: Rc<Server>) -> Self {
-        Acceptor { listener, server, pending: None }
+        Acceptor {
+            listener,
+            server,
+            pending: None,
+        }
     }
 
     /// Accepts connections forever. May be cancelled and run again.
@@ -128,7 +132,9 @@
         match AcceptFailure::of(&error) {
             // A turn of the loop for the others, should the next ones have failed as well.
             AcceptFailure::OneConnection => return yield_now().await,
-            AcceptFailure::OutOfDescriptors => self.server.registry().evict_one(Eviction::ForDescriptor),
+            AcceptFailure::OutOfDescriptors => {
+                self.server.registry().evict_one(Eviction::ForDescriptor)
+            }
             AcceptFailure::SystemResources => {}
         }
         sleep(RETRY_INTERVAL).await;
--- a/crates/node/src/downstream/listener/tests.rs
+++ b/crates/node/src/downstream/listener/tests.rs
@@ -60,7 +60,14 @@
     let (dispatcher, _) = mpsc::channel(1);
     let is_ready = Rc::new(Cell::new(true));
     let budget = Budget::new(1 << 20);
-    let handler = RequestHandler::new(Clock::start(), options, budget, dispatcher, is_ready, phase.clone());
+    let handler = RequestHandler::new(
+        Clock::start(),
+        options,
+        budget,
+        dispatcher,
+        is_ready,
+        phase.clone(),
+    );
     Rc::new(Server::new(handler, registry, phase))
 }
 
@@ -78,7 +85,10 @@
     let request = b"GET /health/ready HTTP/1.1\r\nHost: service.internal\r\n\r\n";
     let mut answer = [0; 12];
     client.write_all(request).await.is_ok()
-        && client.read(&mut answer).await.is_ok_and(|count| answer[..count].starts_with(b"HTTP/1.1 200"))
+        && client
+            .read(&mut answer)
+            .await
+            .is_ok_and(|count| answer[..count].starts_with(b"HTTP/1.1 200"))
 }
 
 /// Drains what is left of an answer.
@@ -96,11 +106,17 @@
 
 /// Plays clients against a listener that fails with that error, as soon as the test sets how often.
 fn with_failures(errno: Errno, test: impl AsyncFnOnce(std::net::SocketAddr, Failures)) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .start_paused(true)
+        .build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("its address");
-        let failures = Failures { each: Rc::default(), count: Rc::default() };
+        let failures = Failures {
+            each: Rc::default(),
+            count: Rc::default(),
+        };
         let failing = FailingListener {
             listener,
             errno,
@@ -119,7 +135,14 @@
 #[test]
 fn a_failed_accept_closes_no_connection_unless_this_process_has_no_descriptor_left() {
     const CLIENTS: u32 = 12;
-    for errno in [Errno::CONNABORTED, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::PROTO, Errno::INTR] {
+    for errno in [
+        Errno::CONNABORTED,
+        Errno::NFILE,
+        Errno::NOBUFS,
+        Errno::NOMEM,
+        Errno::PROTO,
+        Errno::INTR,
+    ] {
         with_failures(errno, async |address, failures| {
             failures.each.set(3);
             let mut clients = Vec::new();
@@ -127,7 +150,10 @@
                 clients.push(connect(address).await);
             }
             for client in &mut clients {
-                assert!(ask(client).await, "{errno:?}: a client was closed with no answer");
+                assert!(
+                    ask(client).await,
+                    "{errno:?}: a client was closed with no answer"
+                );
             }
             assert_eq!(failures.count.get(), CLIENTS * 3, "{errno:?} is reached");
         });
@@ -172,7 +198,10 @@
 fn a_failed_accept_does_not_close_the_listener_on_the_connections_in_its_queue() {
     const CLIENTS: u32 = 5;
     for errno in [Errno::CONNABORTED, Errno::NFILE] {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .start_paused(true)
+            .build();
         LocalSet::new().block_on(&runtime.expect("a runtime"), async {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let address = listener.local_addr().expect("its address");
@@ -191,7 +220,10 @@
             };
             Acceptor::new(failing, server()).finish().await;
             for client in &mut clients {
-                assert!(ask(client).await, "{errno:?}: a client in the queue was closed with no answer");
+                assert!(
+                    ask(client).await,
+                    "{errno:?}: a client in the queue was closed with no answer"
+                );
             }
             assert_eq!(count.get(), CLIENTS * 3);
         });
@@ -200,7 +232,10 @@
 
 #[test]
 fn an_interrupted_or_short_call_costs_no_client_its_answer() {
-    for fault in [|| InjectedFaults::errors(Errno::INTR, 2), InjectedFaults::short_reads] {
+    for fault in [
+        || InjectedFaults::errors(Errno::INTR, 2),
+        InjectedFaults::short_reads,
+    ] {
         with_failures(Errno::INTR, async |address, _| {
             let faults = fault();
             for _ in 0..10 {
--- a/crates/node/src/downstream/mod.rs
+++ b/crates/node/src/downstream/mod.rs
@@ -63,10 +63,22 @@
         let phase = Rc::new(Cell::new(Phase::Serving));
         let registry = Rc::new(ConnectionRegistry::new(options.max_connections));
         let longest_deadline = options.longest_deadline();
-        let handler =
-            RequestHandler::new(clock, options, budget, dispatcher.clone(), is_ready, phase.clone());
+        let handler = RequestHandler::new(
+            clock,
+            options,
+            budget,
+            dispatcher.clone(),
+            is_ready,
+            phase.clone(),
+        );
         let server = Rc::new(Server::new(handler, registry.clone(), phase.clone()));
-        Downstream { server, registry, phase, dispatcher, longest_deadline }
+        Downstream {
+            server,
+            registry,
+            phase,
+            dispatcher,
+            longest_deadline,
+        }
     }
 
     /// Serves clients until `shutdown`, then drains.
@@ -89,7 +101,10 @@
         sleep(LAST_REQUESTS).await;
         self.phase.set(Phase::Shedding);
         self.registry.shut_down_idle();
-        if timeout(self.longest_deadline, self.registry.wait_until_empty()).await.is_err() {
+        if timeout(self.longest_deadline, self.registry.wait_until_empty())
+            .await
+            .is_err()
+        {
             self.end_overdue().await;
         }
     }
@@ -98,7 +113,10 @@
     /// connection can have sent a whole request.
     async fn end_overdue(&self) {
         let _ = self.dispatcher.send(Message::Shutdown).await; // fails only when the dispatcher has ended
-        if timeout(LAST_REQUESTS, self.registry.wait_until_empty()).await.is_err() {
+        if timeout(LAST_REQUESTS, self.registry.wait_until_empty())
+            .await
+            .is_err()
+        {
             log("client connections still open at the end of the drain");
         }
     }
--- a/crates/node/src/downstream/open_calls.rs
+++ b/crates/node/src/downstream/open_calls.rs
@@ -14,7 +14,10 @@
     /// Reserves an id until the guard is dropped; `None` if it is in use.
     pub fn open(&self, id: &HeaderValue) -> Option<OpenCall<'_>> {
         let is_new = self.ids.borrow_mut().insert(id.clone());
-        is_new.then(|| OpenCall { calls: self, id: id.clone() })
+        is_new.then(|| OpenCall {
+            calls: self,
+            id: id.clone(),
+        })
     }
 }
 
--- a/crates/node/src/downstream/options.rs
+++ b/crates/node/src/downstream/options.rs
@@ -19,7 +19,11 @@
 impl Options {
     /// The longest that a client of any class waits.
     pub fn longest_deadline(&self) -> Duration {
-        self.classes.iter().map(|class| class.deadline).max().unwrap_or_default()
+        self.classes
+            .iter()
+            .map(|class| class.deadline)
+            .max()
+            .unwrap_or_default()
     }
 }
 
