--- a/crates/node/src/downstream/registry.rs
+++ b/crates/node/src/downstream/registry.rs
@@ -38,7 +38,10 @@
         let id = self.last_id.get() + 1;
         self.last_id.set(id);
         self.connections.borrow_mut().insert(id, connection);
-        Registration { registry: self.clone(), id }
+        Registration {
+            registry: self.clone(),
+            id,
+        }
     }
 
     /// Whether the limit is reached.
@@ -68,7 +71,9 @@
     /// Makes room for a new connection by closing an idle one, unless one is closing already.
     pub fn evict_one(&self, eviction: Eviction) {
         let connections = self.connections.borrow();
-        let closing = connections.values().filter(|connection| connection.closing_since().is_some());
+        let closing = connections
+            .values()
+            .filter(|connection| connection.closing_since().is_some());
         match closing.min_by_key(|connection| connection.closing_since()) {
             Some(connection) => abort_if_overdue(connection),
             None => close_first_idle(connections.values(), eviction),
@@ -98,7 +103,9 @@
 }
 
 fn abort_if_overdue(closing: &Connection) {
-    let is_overdue = closing.closing_since().is_some_and(|since| Instant::now() > since + EVICTION_GRACE);
+    let is_overdue = closing
+        .closing_since()
+        .is_some_and(|since| Instant::now() > since + EVICTION_GRACE);
     if is_overdue {
         closing.abort();
     }
@@ -113,7 +120,10 @@
     }
     idle.sort_unstable_by_key(|(rank, _)| *rank);
     // Each check is a system call, so it is made in this order and only until one succeeds.
-    if let Some((_, connection)) = idle.iter().find(|(_, connection)| connection.has_nothing_to_read()) {
+    if let Some((_, connection)) = idle
+        .iter()
+        .find(|(_, connection)| connection.has_nothing_to_read())
+    {
         connection.close();
     }
 }
--- a/crates/node/src/downstream/request_body.rs
+++ b/crates/node/src/downstream/request_body.rs
@@ -19,7 +19,9 @@
     }
     let mut content = BytesMut::with_capacity(length);
     loop {
-        let frame = timeout_at(deadline, body.frame()).await.map_err(|_| RequestError::ReadTimeout)?;
+        let frame = timeout_at(deadline, body.frame())
+            .await
+            .map_err(|_| RequestError::ReadTimeout)?;
         let Some(frame) = frame else { break };
         let frame = frame.map_err(|_| RequestError::IncompleteBody)?;
         if let Ok(data) = frame.into_data() {
--- a/crates/node/src/downstream/request_error/tests.rs
+++ b/crates/node/src/downstream/request_error/tests.rs
@@ -21,6 +21,9 @@
         (CallInFlight, 409, "a request with this X-Call-Id is open"),
     ];
     for (error, status, text) in published {
-        assert_eq!((error.status().as_u16(), error.to_string().as_str()), (status, text));
+        assert_eq!(
+            (error.status().as_u16(), error.to_string().as_str()),
+            (status, text)
+        );
     }
 }
--- a/crates/node/src/downstream/request_parser.rs
+++ b/crates/node/src/downstream/request_parser.rs
@@ -58,7 +58,10 @@
     if head.headers.contains_key(TRANSFER_ENCODING) {
         return Err(RequestError::TransferEncoding);
     }
-    let length = body.size_hint().exact().ok_or(RequestError::UnknownLength)?;
+    let length = body
+        .size_hint()
+        .exact()
+        .ok_or(RequestError::UnknownLength)?;
     match usize::try_from(length) {
         Ok(length) if length <= MAX_BODY_BYTES => Ok(length),
         _ => Err(RequestError::BodyTooLarge),
@@ -66,8 +69,16 @@
 }
 
 /// Parses a head. What does not follow the protocol never reaches an endpoint.
-pub fn parse(options: &Options, head: Parts, body_length: usize) -> Result<ParsedRequest, RequestError> {
-    let path = head.uri.path_and_query().ok_or(RequestError::NoPath)?.clone();
+pub fn parse(
+    options: &Options,
+    head: Parts,
+    body_length: usize,
+) -> Result<ParsedRequest, RequestError> {
+    let path = head
+        .uri
+        .path_and_query()
+        .ok_or(RequestError::NoPath)?
+        .clone();
     let target = parse_target(options, path.path())?;
     let class = &options.classes[target.class];
     let headers = &head.headers;
@@ -101,7 +112,10 @@
 }
 
 fn parse_target(options: &Options, path: &str) -> Result<Target, RequestError> {
-    let mut segments = path.strip_prefix('/').ok_or(RequestError::NoPath)?.split('/');
+    let mut segments = path
+        .strip_prefix('/')
+        .ok_or(RequestError::NoPath)?
+        .split('/');
     let name = segments.next().unwrap_or_default();
     let class = options.classes.iter().position(|class| class.name == name);
     let class = class.ok_or(RequestError::UnknownClass)?;
@@ -129,9 +143,17 @@
     Ok(())
 }
 
-fn check_method(class: &RequestClass, method: &Method, body_length: usize) -> Result<(), RequestError> {
+fn check_method(
+    class: &RequestClass,
+    method: &Method,
+    body_length: usize,
+) -> Result<(), RequestError> {
     let is_idempotent = class.idempotency == Idempotency::Idempotent;
-    let expected = if is_idempotent { Method::GET } else { Method::POST };
+    let expected = if is_idempotent {
+        Method::GET
+    } else {
+        Method::POST
+    };
     if *method != expected {
         return Err(RequestError::WrongMethod);
     }
@@ -141,7 +163,10 @@
     Ok(())
 }
 
-fn idempotency_window(class: &RequestClass, has_key: bool) -> Result<Option<Duration>, RequestError> {
+fn idempotency_window(
+    class: &RequestClass,
+    has_key: bool,
+) -> Result<Option<Duration>, RequestError> {
     match class.idempotency {
         Idempotency::Keyed { window, .. } if has_key => Ok(Some(window)),
         Idempotency::Keyed { .. } => Err(RequestError::MissingIdempotencyKey),
--- a/crates/node/src/downstream/server.rs
+++ b/crates/node/src/downstream/server.rs
@@ -28,8 +28,16 @@
 
 impl Server {
     /// A server whose connections are kept in the registry.
-    pub fn new(handler: RequestHandler, registry: Rc<ConnectionRegistry>, phase: Rc<Cell<Phase>>) -> Self {
-        Server { handler, registry, phase }
+    pub fn new(
+        handler: RequestHandler,
+        registry: Rc<ConnectionRegistry>,
+        phase: Rc<Cell<Phase>>,
+    ) -> Self {
+        Server {
+            handler,
+            registry,
+            phase,
+        }
     }
 
     /// The registry of the connections.
@@ -89,7 +97,9 @@
         let mut response = result.unwrap_or_else(response::rejected);
         if is_last {
             connection.end_last_request();
-            response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+            response
+                .headers_mut()
+                .insert(CONNECTION, HeaderValue::from_static("close"));
         } else {
             connection.end_request();
         }
--- a/crates/node/src/logging.rs
+++ b/crates/node/src/logging.rs
@@ -77,7 +77,9 @@
     match admitted {
         Some(0) => log(text),
         Some(suppressed) => {
-            log(format_args!("{text} ({suppressed} messages about peers suppressed)"));
+            log(format_args!(
+                "{text} ({suppressed} messages about peers suppressed)"
+            ));
         }
         None => {}
     }
@@ -93,12 +95,18 @@
 
 impl PeerLineLimit {
     const fn new() -> Self {
-        PeerLineLimit { interval_start: None, lines_in_interval: 0, suppressed: 0 }
+        PeerLineLimit {
+            interval_start: None,
+            lines_in_interval: 0,
+            suppressed: 0,
+        }
     }
 
     /// Admits a line, with the number of those suppressed since the last; `None` if this one is suppressed.
     fn admit(&mut self, now: Instant) -> Option<u64> {
-        let is_over = self.interval_start.is_none_or(|start| now - start >= PEER_LINES_INTERVAL);
+        let is_over = self
+            .interval_start
+            .is_none_or(|start| now - start >= PEER_LINES_INTERVAL);
         if is_over {
             self.interval_start = Some(now);
             self.lines_in_interval = 0;
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -32,12 +32,18 @@
         logging::log(error);
     }
     logging::flush();
-    if result.is_ok() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if result.is_ok() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    }
 }
 
 /// Runs the node on this thread alone: its parts share state without locks.
 fn run() -> Result<(), NodeError> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(NodeError::Runtime)?;
     LocalSet::new().block_on(&runtime, startup::run())
 }
--- a/crates/node/src/memory_budget.rs
+++ b/crates/node/src/memory_budget.rs
@@ -23,8 +23,13 @@
     /// Leases `bytes`; `None` if fewer are left.
     pub fn lease(&self, bytes: usize) -> Option<Lease> {
         let subtract = |left: usize| left.checked_sub(bytes);
-        self.0.fetch_update(Ordering::Relaxed, Ordering::Relaxed, subtract).ok()?;
-        Some(Lease { budget: self.clone(), bytes })
+        self.0
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, subtract)
+            .ok()?;
+        Some(Lease {
+            budget: self.clone(),
+            bytes,
+        })
     }
 
     /// How many bytes may still be leased.
@@ -37,7 +42,10 @@
 impl Lease {
     /// Ties the lease to the bytes it is for: it ends when the last copy of them is dropped.
     pub fn keep(self, bytes: Bytes) -> Bytes {
-        Bytes::from_owner(LeasedBytes { bytes, _lease: self })
+        Bytes::from_owner(LeasedBytes {
+            bytes,
+            _lease: self,
+        })
     }
 }
 
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -4,7 +4,9 @@
 use hyper::Method;
 use hyper::header::HeaderValue;
 use hyper::http::uri::PathAndQuery;
-use ottertiller_balancer::{EndpointEntry, EndpointId, ListKind, LoadReport, NewRequest, Outcome, RequestId};
+use ottertiller_balancer::{
+    EndpointEntry, EndpointId, ListKind, LoadReport, NewRequest, Outcome, RequestId,
+};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -25,7 +25,9 @@
     let ignored = started_with.changes_that_need_restart(config);
     if !ignored.is_empty() {
         let keys = ignored.join(", ");
-        log(format_args!("configuration changes that need a restart: {keys}"));
+        log(format_args!(
+            "configuration changes that need a restart: {keys}"
+        ));
     }
     let has_moved = discovery_address.send_if_modified(|address| {
         let differs = *address != config.discovery;
@@ -33,5 +35,8 @@
         differs
     });
     let change = if has_moved { "changed to" } else { "is still" };
-    log(format_args!("configuration reloaded: discovery address {change} {}", config.discovery));
+    log(format_args!(
+        "configuration reloaded: discovery address {change} {}",
+        config.discovery
+    ));
 }
--- a/crates/node/src/request_table.rs
+++ b/crates/node/src/request_table.rs
@@ -131,7 +131,12 @@
 
 impl RequestTable {
     /// Adds a request, which is owed a final answer.
-    pub fn insert(&mut self, id: RequestId, forward: ForwardedRequest, reply: oneshot::Sender<FinalAnswer>) {
+    pub fn insert(
+        &mut self,
+        id: RequestId,
+        forward: ForwardedRequest,
+        reply: oneshot::Sender<FinalAnswer>,
+    ) {
         let request = InFlightRequest {
             forward: Rc::new(forward),
             reply: Some(reply),
@@ -143,7 +148,9 @@
 
     /// Sends the final answer: nothing else does. Returns false if none is owed any more.
     pub fn answer(&mut self, id: RequestId, answer: FinalAnswer) -> bool {
-        let Some(reply) = self.take_reply(id) else { return false };
+        let Some(reply) = self.take_reply(id) else {
+            return false;
+        };
         // An error means that the client has just disconnected: then no answer is owed.
         let _ = reply.send(answer);
         true
@@ -175,12 +182,27 @@
         let is_answered = request.is_answered();
         let is_overdue = now >= request.forward.deadline;
         if is_answered || is_overdue || request.attempts.len() >= max_attempts {
-            request.attempts.push(AttemptEntry { endpoint, started: now, state: AttemptState::Ended });
-            return Some(NewAttempt::Refused { number, is_answered });
+            request.attempts.push(AttemptEntry {
+                endpoint,
+                started: now,
+                state: AttemptState::Ended,
+            });
+            return Some(NewAttempt::Refused {
+                number,
+                is_answered,
+            });
         }
         let (stop, stopped) = oneshot::channel();
-        request.attempts.push(AttemptEntry { endpoint, started: now, state: AttemptState::Running(stop) });
-        Some(NewAttempt::Started { number, forward: request.forward.clone(), stopped })
+        request.attempts.push(AttemptEntry {
+            endpoint,
+            started: now,
+            state: AttemptState::Running(stop),
+        });
+        Some(NewAttempt::Started {
+            number,
+            forward: request.forward.clone(),
+            stopped,
+        })
     }
 
     /// An attempt has ended; `None` if it is not known or had ended before.
@@ -192,15 +214,23 @@
             return None;
         }
         attempt.state = AttemptState::Ended;
-        let ended = EndedAttempt { endpoint: attempt.endpoint, started: attempt.started, was_answered };
+        let ended = EndedAttempt {
+            endpoint: attempt.endpoint,
+            started: attempt.started,
+            was_answered,
+        };
         self.remove_if_finished(id);
         Some(ended)
     }
 
     /// Stops an attempt that is in flight. Its outcome is still to come.
     pub fn stop_attempt(&mut self, id: RequestId, number: u32, reason: StopReason) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        let Some(attempt) = request.attempts.get_mut(number as usize) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(attempt) = request.attempts.get_mut(number as usize) else {
+            return;
+        };
         match std::mem::replace(&mut attempt.state, AttemptState::Stopping) {
             AttemptState::Running(stop) => {
                 // An error means that it has just ended: then that outcome is on its way.
@@ -212,16 +242,25 @@
 
     /// The requests that are still owed a final answer.
     pub fn unanswered(&self) -> Vec<RequestId> {
-        let unanswered = self.requests.iter().filter(|(_, request)| !request.is_answered());
+        let unanswered = self
+            .requests
+            .iter()
+            .filter(|(_, request)| !request.is_answered());
         unanswered.map(|(id, _)| *id).collect()
     }
 
     /// The one place where a request leaves the table, and its timers with it.
     fn remove_if_finished(&mut self, id: RequestId) {
-        if !self.requests.get(&id).is_some_and(InFlightRequest::is_finished) {
+        if !self
+            .requests
+            .get(&id)
+            .is_some_and(InFlightRequest::is_finished)
+        {
             return;
         }
-        let Some(request) = self.requests.remove(&id) else { return };
+        let Some(request) = self.requests.remove(&id) else {
+            return;
+        };
         for key in request.timers {
             self.timers.remove(&key);
         }
@@ -230,7 +269,10 @@
     /// Sets a timer. One that belongs to a request in flight leaves with it.
     pub fn set_timer(&mut self, due: Duration, timer: Timer) {
         self.last_timer_sequence += 1;
-        let key = TimerKey { due, sequence: self.last_timer_sequence };
+        let key = TimerKey {
+            due,
+            sequence: self.last_timer_sequence,
+        };
         if let Some(request) = self.requests.get_mut(&timer.owner()) {
             request.timers.push(key);
         }
@@ -244,7 +286,10 @@
 
     /// Removes the next timer that is due by `now`.
     pub fn pop_due(&mut self, now: Duration) -> Option<Timer> {
-        let entry = self.timers.first_entry().filter(|entry| entry.key().due <= now)?;
+        let entry = self
+            .timers
+            .first_entry()
+            .filter(|entry| entry.key().due <= now)?;
         let (fired, timer) = entry.remove_entry();
         if let Some(request) = self.requests.get_mut(&timer.owner()) {
             request.timers.retain(|key| *key != fired);
@@ -255,6 +300,9 @@
     /// The number of entries.
     #[cfg(test)]
     pub fn usage(&self) -> Usage {
-        Usage { requests: self.requests.len(), timers: self.timers.len() }
+        Usage {
+            requests: self.requests.len(),
+            timers: self.timers.len(),
+        }
     }
 }
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -16,7 +16,9 @@
     /// Installs the handlers.
     pub fn install() -> io::Result<Self> {
         Ok(Signals {
-            reload: ReloadSignal { hangup: signal(SignalKind::hangup())? },
+            reload: ReloadSignal {
+                hangup: signal(SignalKind::hangup())?,
+            },
             shutdown: ShutdownSignal {
                 terminate: signal(SignalKind::terminate())?,
                 interrupt: signal(SignalKind::interrupt())?,
--- a/crates/node/src/socket.rs
+++ b/crates/node/src/socket.rs
@@ -93,8 +93,11 @@
     /// The stream and its handle.
     pub fn new(stream: TcpStream) -> (Self, Handle) {
         let _ = stream.set_nodelay(true); // without it the stream is only slower
-        let shared =
-            Rc::new(Shared { stream, first_byte_at: Cell::default(), read_ahead: RefCell::default() });
+        let shared = Rc::new(Shared {
+            stream,
+            first_byte_at: Cell::default(),
+            read_ahead: RefCell::default(),
+        });
         let handle = Handle(Rc::downgrade(&shared));
         (Socket(shared), handle)
     }
@@ -130,7 +133,9 @@
     /// Whether it is open and has nothing to read. Asks the kernel: what the runtime knows may be one turn of the
     /// loop old.
     pub fn has_nothing_to_read(&self) -> bool {
-        let Some(shared) = self.0.upgrade() else { return false };
+        let Some(shared) = self.0.upgrade() else {
+            return false;
+        };
         if !shared.read_ahead.borrow().is_empty() {
             return false;
         }
@@ -142,7 +147,9 @@
     /// serves, so these are read ahead, as far as there is room for them. To be polled after hyper, which has to get
     /// first what it wants.
     pub async fn peer_closed(&self) {
-        let Some(shared) = self.0.upgrade() else { return };
+        let Some(shared) = self.0.upgrade() else {
+            return;
+        };
         if shared.fill_read_ahead().await == ReadAheadEnd::PeerClosed {
             return;
         }
@@ -154,7 +161,9 @@
 
     /// Whether the peer is known to have closed its side, whatever waits to be read before that.
     pub fn is_peer_closed(&self) -> bool {
-        let Some(shared) = self.0.upgrade() else { return true };
+        let Some(shared) = self.0.upgrade() else {
+            return true;
+        };
         let ready = pin!(shared.stream.ready(Interest::READABLE));
         let polled = ready.poll(&mut Context::from_waker(Waker::noop()));
         matches!(polled, Poll::Ready(Ok(ready)) if ready.is_read_closed())
@@ -190,7 +199,11 @@
 }
 
 impl Write for Socket {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.poll_try_write(cx, |stream| system_calls::write(stream, bytes))
     }
 
--- a/crates/node/src/socket/fault_injection.rs
+++ b/crates/node/src/socket/fault_injection.rs
@@ -25,12 +25,24 @@
 impl InjectedFaults {
     /// One call of so many fails.
     pub fn errors(errno: Errno, fail_every: u32) -> Self {
-        Self::start(Plan { fail_every, errno, short_reads: false, calls: 0, injected: 0 })
+        Self::start(Plan {
+            fail_every,
+            errno,
+            short_reads: false,
+            calls: 0,
+            injected: 0,
+        })
     }
 
     /// Reads are short, and none fails.
     pub fn short_reads() -> Self {
-        Self::start(Plan { fail_every: 0, errno: Errno::INTR, short_reads: true, calls: 0, injected: 0 })
+        Self::start(Plan {
+            fail_every: 0,
+            errno: Errno::INTR,
+            short_reads: true,
+            calls: 0,
+            injected: 0,
+        })
     }
 
     fn start(plan: Plan) -> Self {
@@ -66,9 +78,15 @@
 /// The part of a buffer that a read may fill.
 pub fn shorten(buffer: &mut [u8]) -> &mut [u8] {
     let is_short = FAULTS.with_borrow_mut(|plan| {
-        let plan = plan.as_mut().filter(|plan| plan.short_reads && buffer.len() > 1);
+        let plan = plan
+            .as_mut()
+            .filter(|plan| plan.short_reads && buffer.len() > 1);
         plan.map(|plan| plan.injected += 1).is_some()
     });
-    let length = if is_short { buffer.len().min(64) / 2 } else { buffer.len() };
+    let length = if is_short {
+        buffer.len().min(64) / 2
+    } else {
+        buffer.len()
+    };
     &mut buffer[..length]
 }
--- a/crates/node/src/socket/tests.rs
+++ b/crates/node/src/socket/tests.rs
@@ -12,7 +12,10 @@
 
 #[test]
 fn a_disconnected_peer_is_noticed_whatever_waits_to_be_read() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .start_paused(true)
+        .build();
     runtime.expect("a runtime").block_on(async {
         for (waits, resets) in [
             (0, false),
@@ -28,24 +31,34 @@
             let (_socket, handle) = Socket::new(stream);
             peer.write_all(&vec![b'.'; waits]).expect("room");
             assert!(
-                timeout(DISCONNECT_DEADLINE, handle.peer_closed()).await.is_err(),
+                timeout(DISCONNECT_DEADLINE, handle.peer_closed())
+                    .await
+                    .is_err(),
                 "it is there, with {waits} bytes waiting"
             );
             if resets {
-                SockRef::from(&peer).set_linger(Some(Duration::ZERO)).expect("a reset at its close");
+                SockRef::from(&peer)
+                    .set_linger(Some(Duration::ZERO))
+                    .expect("a reset at its close");
             }
             drop(peer);
             // The kernel is to have it before time moves on: it may be held up where the machine is busy.
             std::thread::sleep(KERNEL);
             let known = timeout(DISCONNECT_DEADLINE, handle.peer_closed()).await;
-            assert!(known.is_ok(), "{waits} bytes wait before its end, resets: {resets}");
+            assert!(
+                known.is_ok(),
+                "{waits} bytes wait before its end, resets: {resets}"
+            );
         }
     });
 }
 
 #[test]
 fn an_interrupted_call_says_nothing_of_the_peer() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .start_paused(true)
+        .build();
     runtime.expect("a runtime").block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("its address");
@@ -53,11 +66,19 @@
         let (stream, _) = listener.accept().await.expect("the peer");
         let (_socket, handle) = Socket::new(stream);
         let faults = InjectedFaults::errors(Errno::INTR, 2);
-        assert!((0..2).all(|_| handle.has_nothing_to_read()), "it is open and has sent nothing");
+        assert!(
+            (0..2).all(|_| handle.has_nothing_to_read()),
+            "it is open and has sent nothing"
+        );
         for _ in 0..4 {
             peer.write_all(b".").expect("room");
             std::thread::sleep(KERNEL);
-            assert!(timeout(DISCONNECT_DEADLINE, handle.peer_closed()).await.is_err(), "it is there");
+            assert!(
+                timeout(DISCONNECT_DEADLINE, handle.peer_closed())
+                    .await
+                    .is_err(),
+                "it is there"
+            );
         }
         assert!(faults.count() >= 4);
     });
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -65,11 +65,17 @@
 }
 
 async fn bind(address: SocketAddr) -> Result<TcpListener, NodeError> {
-    TcpListener::bind(address).await.map_err(|cause| NodeError::Bind { address, cause })
+    TcpListener::bind(address)
+        .await
+        .map_err(|cause| NodeError::Bind { address, cause })
 }
 
 /// Builds the parts, connects them, and runs them until the downstream side has drained.
-async fn serve(config: Rc<Config>, listener: TcpListener, signals: Signals) -> Result<(), NodeError> {
+async fn serve(
+    config: Rc<Config>,
+    listener: TcpListener,
+    signals: Signals,
+) -> Result<(), NodeError> {
     let clock = Clock::start();
     let (messages, mut inbox) = mpsc::channel(DISPATCHER_INBOX);
     let (discovery_commands, discovery_inbox) = mpsc::channel(DISCOVERY_INBOX);
@@ -79,13 +85,28 @@
     let discovery = Discovery::new(discovery_options(&config), messages.clone());
     let is_ready = discovery.ready();
     let dispatcher_options = dispatcher_options(&config);
-    let mut dispatcher =
-        Dispatcher::new(clock, dispatcher_options, upstream, messages.clone(), discovery_commands);
-    let downstream = Downstream::new(clock, downstream_options(&config), budget, messages, is_ready);
+    let mut dispatcher = Dispatcher::new(
+        clock,
+        dispatcher_options,
+        upstream,
+        messages.clone(),
+        discovery_commands,
+    );
+    let downstream = Downstream::new(
+        clock,
+        downstream_options(&config),
+        budget,
+        messages,
+        is_ready,
+    );
 
     let mut dispatcher = spawn_local(async move { dispatcher.run(&mut inbox).await });
     let mut discovery = spawn_local(discovery.run(discovery_inbox, discovery_address));
-    spawn_local(reload_on_signal(signals.reload, config.clone(), address_sender));
+    spawn_local(reload_on_signal(
+        signals.reload,
+        config.clone(),
+        address_sender,
+    ));
     let address = listener.local_addr().map_err(NodeError::LocalAddress)?;
     log(format_args!("{} listens on {address}", config.name));
 
@@ -98,16 +119,21 @@
 
 /// What the dispatcher takes from the configuration.
 pub fn dispatcher_options(config: &Config) -> DispatcherOptions {
-    DispatcherOptions { settings: config.site.settings.clone(), seed: config.seed }
+    DispatcherOptions {
+        settings: config.site.settings.clone(),
+        seed: config.seed,
+    }
 }
 
 fn downstream_options(config: &Config) -> downstream::Options {
     let names = config.site.class_names.iter();
-    let classes = names.zip(&config.site.settings.classes).map(|(name, class)| downstream::RequestClass {
-        name: name.clone(),
-        idempotency: class.idempotency,
-        deadline: class.deadline,
-    });
+    let classes = names
+        .zip(&config.site.settings.classes)
+        .map(|(name, class)| downstream::RequestClass {
+            name: name.clone(),
+            idempotency: class.idempotency,
+            deadline: class.deadline,
+        });
     downstream::Options {
         max_connections: config.client_connections,
         classes: classes.collect(),
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -81,7 +81,9 @@
                 Err(mut error) => match error.take_message() {
                     // Not a byte of it was written, so that it may go out on another connection.
                     Some(_) => written.set(false),
-                    None => return ExchangeResult::without_response(outcome_of_error(error.error())),
+                    None => {
+                        return ExchangeResult::without_response(outcome_of_error(error.error()));
+                    }
                 },
             }
         }
@@ -89,7 +91,11 @@
     }
 
     /// The request as it is to be written now, if it still may be.
-    fn permitted_request(&self, attempt: &Attempt, connection: &Connection) -> Option<Request<Full<Bytes>>> {
+    fn permitted_request(
+        &self,
+        attempt: &Attempt,
+        connection: &Connection,
+    ) -> Option<Request<Full<Bytes>>> {
         let destination = self.pool.destination(connection)?;
         attempt.request(self.clock.now(), destination)
     }
--- a/crates/node/src/upstream/attempt/tests.rs
+++ b/crates/node/src/upstream/attempt/tests.rs
@@ -17,7 +17,9 @@
 const MINUTE: Duration = Duration::from_secs(60);
 
 /// Makes an attempt after a change since it was decided on; returns its outcome and what its endpoint was sent.
-fn outcome_after(change: impl FnOnce(&Pool, &mut Attempt, ListedEndpoint, Duration)) -> (Outcome, String) {
+fn outcome_after(
+    change: impl FnOnce(&Pool, &mut Attempt, ListedEndpoint, Duration),
+) -> (Outcome, String) {
     outcome_of_response("", change)
 }
 
@@ -40,7 +42,13 @@
             first_byte: Cell::new(None),
         };
         let (expires_at, forward) = (now + MINUTE, Rc::new(forward));
-        let mut attempt = Attempt { id: RequestId(1), number: 0, endpoint: ENDPOINT, expires_at, forward };
+        let mut attempt = Attempt {
+            id: RequestId(1),
+            number: 0,
+            endpoint: ENDPOINT,
+            expires_at,
+            forward,
+        };
         change(&pool, &mut attempt, endpoint, now);
         let (_stop, stopped) = oneshot::channel();
         let served = spawn_local(async move {
@@ -51,7 +59,12 @@
             String::from_utf8_lossy(&sent[..read]).into_owned()
         });
         let load_reports = LoadReportParser::new(LoadReportSource::None, Vec::new());
-        let upstream = Upstream { clock, budget: Budget::new(1 << 20), pool: pool.clone(), load_reports };
+        let upstream = Upstream {
+            clock,
+            budget: Budget::new(1 << 20),
+            pool: pool.clone(),
+            load_reports,
+        };
         let result = Rc::new(upstream).run_attempt(attempt, stopped).await;
         pool.close_idle(ENDPOINT);
         (result.outcome, served.await.expect("the endpoint's part"))
@@ -60,7 +73,10 @@
 
 #[test]
 fn an_attempt_that_is_still_permitted_is_written() {
-    assert_eq!(outcome_after(|_, _, _, _| {}), (Outcome::Reset, "POST /submit/1 ".to_owned()));
+    assert_eq!(
+        outcome_after(|_, _, _, _| {}),
+        (Outcome::Reset, "POST /submit/1 ".to_owned())
+    );
 }
 
 #[test]
@@ -72,21 +88,35 @@
     assert_eq!(over, nothing(), "the request has its final answer");
     let forgotten =
         outcome_after(|_, attempt, _, now| attempt.forward.first_byte.set(Some(now - 2 * MINUTE)));
-    assert_eq!(forgotten, nothing(), "endpoints have forgotten the first attempt of a keyed request");
+    assert_eq!(
+        forgotten,
+        nothing(),
+        "endpoints have forgotten the first attempt of a keyed request"
+    );
     let drained = outcome_after(|pool, _, mut endpoint, _| {
         endpoint.entry.state = EndpointState::Draining;
         pool.update(ListKind::Delta, &[endpoint]);
     });
-    assert_eq!(drained, nothing(), "the endpoint drains, though its grace is not over");
+    assert_eq!(
+        drained,
+        nothing(),
+        "the endpoint drains, though its grace is not over"
+    );
 }
 
 const SERVED: &str = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
 #[test]
 fn an_attempt_whose_calls_are_interrupted_or_short_is_served() {
-    for fault in [|| InjectedFaults::errors(Errno::INTR, 2), InjectedFaults::short_reads] {
+    for fault in [
+        || InjectedFaults::errors(Errno::INTR, 2),
+        InjectedFaults::short_reads,
+    ] {
         let faults = fault();
-        assert_eq!(outcome_of_response(SERVED, |_, _, _, _| {}).0, Outcome::Served);
+        assert_eq!(
+            outcome_of_response(SERVED, |_, _, _, _| {}).0,
+            Outcome::Served
+        );
         assert!(faults.count() > 0, "it is reached");
     }
 }
@@ -94,11 +124,20 @@
 /// The connection has failed once the request was on its way: nothing says that the request never ran.
 #[test]
 fn an_attempt_whose_connection_fails_after_it_was_written_may_have_run() {
-    for errno in [Errno::TIMEDOUT, Errno::HOSTUNREACH, Errno::CONNRESET, Errno::PIPE] {
+    for errno in [
+        Errno::TIMEDOUT,
+        Errno::HOSTUNREACH,
+        Errno::CONNRESET,
+        Errno::PIPE,
+    ] {
         for fail_every in [2, 3] {
             let faults = InjectedFaults::errors(errno, fail_every);
             let (outcome, _) = outcome_of_response(SERVED, |_, _, _, _| {});
-            assert_eq!(outcome, Outcome::Reset, "{errno:?} on one call of {fail_every}");
+            assert_eq!(
+                outcome,
+                Outcome::Reset,
+                "{errno:?} on one call of {fail_every}"
+            );
             assert!(faults.count() > 0, "it is reached");
         }
     }
--- a/crates/node/src/upstream/health_check.rs
+++ b/crates/node/src/upstream/health_check.rs
@@ -17,11 +17,20 @@
 
 impl Upstream {
     /// Checks an endpoint's health; `started` is when the check was decided on.
-    pub async fn check_health(self: Rc<Self>, endpoint: EndpointId, started: Duration) -> HealthCheckResult {
+    pub async fn check_health(
+        self: Rc<Self>,
+        endpoint: EndpointId,
+        started: Duration,
+    ) -> HealthCheckResult {
         let exchange = timeout(HEALTH_CHECK_TIMEOUT, self.exchange_health_check(endpoint)).await;
         let result = exchange.unwrap_or(ExchangeResult::without_response(Outcome::TimedOut));
         let report = self.report_of_health_check(&result);
-        HealthCheckResult { endpoint, outcome: result.outcome, started, report }
+        HealthCheckResult {
+            endpoint,
+            outcome: result.outcome,
+            started,
+            report,
+        }
     }
 
     async fn exchange_health_check(&self, endpoint: EndpointId) -> ExchangeResult {
@@ -32,7 +41,11 @@
         let Some(address) = self.pool.destination(&connection) else {
             return ExchangeResult::without_response(Outcome::NotSent);
         };
-        let path = if self.load_reports.is_enabled() { STATS_PATH } else { LIVENESS_PATH };
+        let path = if self.load_reports.is_enabled() {
+            STATS_PATH
+        } else {
+            LIVENESS_PATH
+        };
         let request = request::health_check(path, address);
         let response = match connection.sender.send_request(request).await {
             Ok(response) => response,
@@ -48,7 +61,10 @@
 
     /// The report in the body is the fuller one.
     fn report_of_health_check(&self, result: &ExchangeResult) -> Option<LoadReport> {
-        let in_body = result.body.as_ref().and_then(|body| self.load_reports.parse_body(body));
+        let in_body = result
+            .body
+            .as_ref()
+            .and_then(|body| self.load_reports.parse_body(body));
         in_body.or(result.report)
     }
 }
--- a/crates/node/src/upstream/mod.rs
+++ b/crates/node/src/upstream/mod.rs
@@ -43,7 +43,10 @@
             clock,
             budget,
             pool: Pool::start(clock, options.pool),
-            load_reports: LoadReportParser::new(options.load_report_source, options.load_report_columns),
+            load_reports: LoadReportParser::new(
+                options.load_report_source,
+                options.load_report_columns,
+            ),
         })
     }
 
--- a/crates/node/src/upstream/pool/checkout.rs
+++ b/crates/node/src/upstream/pool/checkout.rs
@@ -56,15 +56,27 @@
             slot.dials_in_flight <= slot.waiters.len()
         };
         // Its permit may close an idle connection to any endpoint, so that the registry must not be borrowed here.
-        let permit = if needs_dial { Some(self.acquire_permit()?) } else { None };
+        let permit = if needs_dial {
+            Some(self.acquire_permit()?)
+        } else {
+            None
+        };
         let mut registry = self.registry.borrow_mut();
         let slot = registry.get_mut(endpoint).ok_or(Outcome::NotSent)?;
         if let Some(permit) = permit {
             slot.dials_in_flight += 1;
-            self.spawn_dial(Dial { endpoint, epoch: slot.epoch, address: slot.address, permit });
+            self.spawn_dial(Dial {
+                endpoint,
+                epoch: slot.epoch,
+                address: slot.address,
+                permit,
+            });
         }
         let delivery = slot.waiters.enqueue();
-        Ok(Checkout::Pending(PendingCheckout { pool: self, delivery }))
+        Ok(Checkout::Pending(PendingCheckout {
+            pool: self,
+            delivery,
+        }))
     }
 
     /// Room for one more connection, which may cost the longest idle one.
--- a/crates/node/src/upstream/pool/connection.rs
+++ b/crates/node/src/upstream/pool/connection.rs
@@ -23,7 +23,10 @@
 impl ConnectionLimit {
     /// A limit of `max` connections.
     pub fn new(max: usize) -> Self {
-        ConnectionLimit { open: Rc::default(), max }
+        ConnectionLimit {
+            open: Rc::default(),
+            max,
+        }
     }
 
     /// A permit for one more connection, unless the limit is reached.
@@ -32,7 +35,9 @@
             return None;
         }
         self.open.set(self.open.get() + 1);
-        Some(ConnectionPermit { open: self.open.clone() })
+        Some(ConnectionPermit {
+            open: self.open.clone(),
+        })
     }
 
     /// How many permits are held.
--- a/crates/node/src/upstream/pool/dial.rs
+++ b/crates/node/src/upstream/pool/dial.rs
@@ -45,9 +45,9 @@
 impl DialError {
     fn from_connect(error: io::Error) -> Self {
         match Errno::from_io_error(&error) {
-            Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM | Errno::ADDRNOTAVAIL) => {
-                DialError::LocalResources(error)
-            }
+            Some(
+                Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM | Errno::ADDRNOTAVAIL,
+            ) => DialError::LocalResources(error),
             _ => DialError::Connect(error),
         }
     }
@@ -55,7 +55,9 @@
     fn outcome(&self) -> Outcome {
         match self {
             DialError::LocalResources(_) => Outcome::NotSent,
-            DialError::Connect(_) | DialError::TimedOut | DialError::Handshake(_) => Outcome::ConnectFailed,
+            DialError::Connect(_) | DialError::TimedOut | DialError::Handshake(_) => {
+                Outcome::ConnectFailed
+            }
         }
     }
 }
@@ -73,13 +75,15 @@
     }
 
     async fn dial(&self, dial: Dial) -> CheckoutResult {
-        connect(dial, self.options.connect_timeout).await.map_err(|error| {
-            if let DialError::LocalResources(_) = error {
-                log_peer(&error);
-                self.registry.borrow_mut().close_longest_idle();
-            }
-            error.outcome()
-        })
+        connect(dial, self.options.connect_timeout)
+            .await
+            .map_err(|error| {
+                if let DialError::LocalResources(_) = error {
+                    log_peer(&error);
+                    self.registry.borrow_mut().close_longest_idle();
+                }
+                error.outcome()
+            })
     }
 
     fn dial_ended(&self, endpoint: EndpointId, epoch: Epoch, result: CheckoutResult) {
@@ -105,9 +109,14 @@
 
 async fn connect(dial: Dial, connect_timeout: Duration) -> Result<Connection, DialError> {
     let connected = timeout(connect_timeout, socket::connect(dial.address)).await;
-    let stream = connected.map_err(|_| DialError::TimedOut)?.map_err(DialError::from_connect)?;
+    let stream = connected
+        .map_err(|_| DialError::TimedOut)?
+        .map_err(DialError::from_connect)?;
     let (socket, handle) = Socket::new(stream);
-    let handshake = http1::Builder::new().max_buf_size(READ_BUFFER_BYTES).handshake(socket).await;
+    let handshake = http1::Builder::new()
+        .max_buf_size(READ_BUFFER_BYTES)
+        .handshake(socket)
+        .await;
     let (sender, driver) = handshake.map_err(DialError::Handshake)?;
     let task = spawn_local(async move {
         let _ = driver.await; // an error shows in the exchange on it
--- a/crates/node/src/upstream/pool/idle.rs
+++ b/crates/node/src/upstream/pool/idle.rs
@@ -21,7 +21,10 @@
 impl IdleConnections {
     /// Adds a connection that is idle from `now` on.
     pub fn push(&mut self, connection: Connection, now: Duration) {
-        self.0.push(IdleConnection { connection, since: now });
+        self.0.push(IdleConnection {
+            connection,
+            since: now,
+        });
     }
 
     /// Takes the most recently used connection that has cooled down and may carry a request. Those found unusable
@@ -41,7 +44,9 @@
 
     /// Closes the connections that have been idle for too long, and forgets those that the endpoint has closed.
     pub fn evict_expired(&mut self, now: Duration, idle_timeout: Duration) {
-        self.0.retain(|idle| !idle.connection.sender.is_closed() && !idle.has_expired(now, idle_timeout));
+        self.0.retain(|idle| {
+            !idle.connection.sender.is_closed() && !idle.has_expired(now, idle_timeout)
+        });
     }
 
     /// Since when the connection that comes first in line to be closed has been idle.
--- a/crates/node/src/upstream/pool/mod.rs
+++ b/crates/node/src/upstream/pool/mod.rs
@@ -85,7 +85,9 @@
         let interval = (self.idle_timeout / SWEEPS_PER_IDLE_TIMEOUT).max(MIN_SWEEP_INTERVAL);
         loop {
             sleep(interval).await;
-            self.registry.borrow_mut().evict_expired(self.clock.now(), self.idle_timeout);
+            self.registry
+                .borrow_mut()
+                .evict_expired(self.clock.now(), self.idle_timeout);
         }
     }
 
@@ -105,7 +107,9 @@
     /// needs no cool-down. The longest waiting attempt gets it; if nobody waits, it stays idle for the next.
     pub fn release(&self, connection: Connection) {
         let mut registry = self.registry.borrow_mut();
-        let Some(slot) = registry.in_epoch_mut(connection.endpoint, connection.epoch) else { return };
+        let Some(slot) = registry.in_epoch_mut(connection.endpoint, connection.epoch) else {
+            return;
+        };
         if !connection.is_usable() {
             return;
         }
@@ -120,7 +124,9 @@
         let endpoint = connection.endpoint;
         connection.cooling_until = now + self.options.response_cooldown;
         let mut registry = self.registry.borrow_mut();
-        let Some(slot) = registry.in_epoch_mut(endpoint, connection.epoch) else { return };
+        let Some(slot) = registry.in_epoch_mut(endpoint, connection.epoch) else {
+            return;
+        };
         slot.idle.push(connection, now);
         if !slot.waiters.is_empty() {
             spawn_local(self.clone().offer_after_cooldown(endpoint));
@@ -137,7 +143,9 @@
 
     fn take_for_waiter(&self, endpoint: EndpointId) -> Option<Connection> {
         let mut registry = self.registry.borrow_mut();
-        let slot = registry.get_mut(endpoint).filter(|slot| !slot.waiters.is_empty())?;
+        let slot = registry
+            .get_mut(endpoint)
+            .filter(|slot| !slot.waiters.is_empty())?;
         slot.idle.take_usable(self.clock.now(), self.idle_timeout)
     }
 
--- a/crates/node/src/upstream/pool/registry.rs
+++ b/crates/node/src/upstream/pool/registry.rs
@@ -83,7 +83,8 @@
         for endpoint in listed {
             self.apply_entry(endpoint);
         }
-        self.slots.retain(|_, slot| slot.state != EndpointState::Removed);
+        self.slots
+            .retain(|_, slot| slot.state != EndpointState::Removed);
     }
 
     fn remove_unlisted(&mut self, listed: &[ListedEndpoint]) {
@@ -132,8 +133,10 @@
 
     /// Closes the connection that has been idle for longest, of all endpoints; false if none is idle.
     pub fn close_longest_idle(&mut self) -> bool {
-        let candidates =
-            self.slots.values_mut().filter_map(|slot| Some((slot.idle.longest_idle_since()?, slot)));
+        let candidates = self
+            .slots
+            .values_mut()
+            .filter_map(|slot| Some((slot.idle.longest_idle_since()?, slot)));
         match candidates.min_by_key(|(since, _)| *since) {
             Some((_, slot)) => slot.idle.close_longest_idle(),
             None => false,
--- a/crates/node/src/upstream/pool/tests.rs
+++ b/crates/node/src/upstream/pool/tests.rs
@@ -16,12 +16,22 @@
     response_cooldown: Duration,
     test: impl AsyncFnOnce(Rc<Pool>, TcpListener, ListedEndpoint) -> T,
 ) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let pool = Pool::start(Clock::start(), options(response_cooldown));
-        let entry = EndpointEntry { id: ENDPOINT, state: EndpointState::Ready, ..EndpointEntry::default() };
-        let endpoint = ListedEndpoint { entry, address: listener.local_addr().expect("its address") };
+        let entry = EndpointEntry {
+            id: ENDPOINT,
+            state: EndpointState::Ready,
+            ..EndpointEntry::default()
+        };
+        let endpoint = ListedEndpoint {
+            entry,
+            address: listener.local_addr().expect("its address"),
+        };
         pool.update(ListKind::Snapshot, std::slice::from_ref(&endpoint));
         test(pool, listener, endpoint).await
     })
@@ -40,7 +50,11 @@
 
 /// How many connections to the endpoint are idle in the pool.
 fn idle(pool: &Pool) -> usize {
-    pool.registry.borrow().slots().get(&ENDPOINT).map_or(0, |slot| slot.idle.len())
+    pool.registry
+        .borrow()
+        .slots()
+        .get(&ENDPOINT)
+        .map_or(0, |slot| slot.idle.len())
 }
 
 #[test]
@@ -78,7 +92,9 @@
         tokio::task::yield_now().await;
         pool.release(first);
         assert_eq!(idle(&pool), 1);
-        endpoint.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("a node");
+        endpoint
+            .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+            .expect("a node");
         let next = pool.checkout(ENDPOINT).await.expect("a connection");
         assert_ne!(next.task.id(), used);
     });
@@ -103,7 +119,9 @@
     SockRef::from(listener).listen(0).expect("a shorter queue");
     let address = listener.local_addr().expect("its address");
     let mut clients = Vec::new();
-    while let Ok(Ok(client)) = timeout(Duration::from_millis(500), TcpStream::connect(address)).await {
+    while let Ok(Ok(client)) =
+        timeout(Duration::from_millis(500), TcpStream::connect(address)).await
+    {
         clients.push(client);
     }
     clients
@@ -121,7 +139,10 @@
             _ = &mut second => panic!("no dial succeeds"),
             () = std::future::ready(()) => pool.release_after_response(first),
         }
-        assert_eq!(second.await.ok().map(|connection| connection.task.id()), Some(used));
+        assert_eq!(
+            second.await.ok().map(|connection| connection.task.id()),
+            Some(used)
+        );
     });
 }
 
@@ -130,8 +151,12 @@
 #[test]
 fn an_attempt_waiting_for_a_dial_fails_at_once_when_its_endpoint_drains_or_restarts() {
     let drains = |endpoint: &mut ListedEndpoint| endpoint.entry.state = EndpointState::Draining;
-    let restarts = |endpoint: &mut ListedEndpoint| endpoint.entry.started = Some(Duration::from_secs(1));
-    for (case, change) in [&drains as &dyn Fn(&mut ListedEndpoint), &restarts].into_iter().enumerate() {
+    let restarts =
+        |endpoint: &mut ListedEndpoint| endpoint.entry.started = Some(Duration::from_secs(1));
+    for (case, change) in [&drains as &dyn Fn(&mut ListedEndpoint), &restarts]
+        .into_iter()
+        .enumerate()
+    {
         with_pool(async |pool, listener, mut endpoint| {
             let _clients = fill_backlog(&listener).await;
             let mut waiting = std::pin::pin!(pool.checkout(ENDPOINT));
@@ -163,7 +188,13 @@
         assert_eq!(idle(&pool), 0);
         drop(second);
         assert_eq!(idle(&pool), 1);
-        assert_eq!(pool.checkout(ENDPOINT).await.ok().map(|connection| connection.task.id()), Some(freed));
+        assert_eq!(
+            pool.checkout(ENDPOINT)
+                .await
+                .ok()
+                .map(|connection| connection.task.id()),
+            Some(freed)
+        );
     });
 }
 
@@ -175,13 +206,25 @@
     with_pool(async |pool, _listener, mut endpoint| {
         // Its port is bound, so that nobody else gets it, and not listened on.
         let socket = TcpSocket::new_v4().expect("a socket");
-        socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
+        socket
+            .bind(SocketAddr::from(([127, 0, 0, 1], 0)))
+            .expect("a port");
         endpoint.address = socket.local_addr().expect("its address");
         endpoint.entry.id = UNREACHABLE;
         pool.update(ListKind::Delta, &[endpoint]);
-        assert_eq!(pool.checkout(UNREACHABLE).await.err(), Some(Outcome::ConnectFailed));
+        assert_eq!(
+            pool.checkout(UNREACHABLE).await.err(),
+            Some(Outcome::ConnectFailed)
+        );
         let usage = pool.usage();
-        assert_eq!((usage.open_connections, usage.dials_in_flight, usage.waiting_attempts), (0, 0, 0));
+        assert_eq!(
+            (
+                usage.open_connections,
+                usage.dials_in_flight,
+                usage.waiting_attempts
+            ),
+            (0, 0, 0)
+        );
     });
 }
 
@@ -212,7 +255,12 @@
         assert_eq!(pool.destination(&in_use), None);
         pool.release(in_use);
         assert_eq!(pool.checkout(ENDPOINT).await.err(), Some(Outcome::NotSent));
-        let nothing = Usage { endpoints: 0, open_connections: 0, waiting_attempts: 0, dials_in_flight: 0 };
+        let nothing = Usage {
+            endpoints: 0,
+            open_connections: 0,
+            waiting_attempts: 0,
+            dials_in_flight: 0,
+        };
         assert_eq!(pool.usage(), nothing);
     });
 }
--- a/crates/node/src/upstream/pool/waiters.rs
+++ b/crates/node/src/upstream/pool/waiters.rs
@@ -36,7 +36,9 @@
     /// Fails the longest waiting until no more than `remaining` are left.
     pub fn fail_down_to(&mut self, remaining: usize, outcome: Outcome) {
         while self.0.len() > remaining {
-            let Some(waiter) = self.0.pop_front() else { break };
+            let Some(waiter) = self.0.pop_front() else {
+                break;
+            };
             let _ = waiter.send(Err(outcome)); // fails only if it has given up
         }
     }
--- a/crates/node/src/upstream/request.rs
+++ b/crates/node/src/upstream/request.rs
@@ -16,7 +16,11 @@
 impl Attempt {
     /// The request as it is written at `now`, if it still may be: not past its time, not once endpoints have
     /// forgotten its idempotency key, and not once it has its final answer.
-    pub(super) fn request(&self, now: Duration, destination: SocketAddr) -> Option<Request<Full<Bytes>>> {
+    pub(super) fn request(
+        &self,
+        now: Duration,
+        destination: SocketAddr,
+    ) -> Option<Request<Full<Bytes>>> {
         if now >= self.expires_at || self.is_key_forgotten(now) {
             return None;
         }
@@ -33,7 +37,10 @@
 
     /// Whether endpoints may have forgotten an earlier attempt of a keyed request, and would run it again.
     fn is_key_forgotten(&self, now: Duration) -> bool {
-        match (self.forward.idempotency_window, self.forward.first_byte.get()) {
+        match (
+            self.forward.idempotency_window,
+            self.forward.first_byte.get(),
+        ) {
             (Some(window), Some(first_byte)) => now >= first_byte + window,
             _ => false,
         }
--- a/crates/node/src/upstream/response.rs
+++ b/crates/node/src/upstream/response.rs
@@ -31,11 +31,19 @@
 impl ExchangeResult {
     /// An exchange that ended without a response.
     pub fn without_response(outcome: Outcome) -> Self {
-        ExchangeResult { outcome, report: None, body: None }
+        ExchangeResult {
+            outcome,
+            report: None,
+            body: None,
+        }
     }
 
     fn without_body(outcome: Outcome, report: Option<LoadReport>) -> Self {
-        ExchangeResult { outcome, report, body: None }
+        ExchangeResult {
+            outcome,
+            report,
+            body: None,
+        }
     }
 }
 
@@ -74,21 +82,36 @@
             Err(error) => {
                 log_peer(error);
                 let result = ExchangeResult::without_body(Outcome::Error, report);
-                return ReceivedResponse { result, connection: None };
+                return ReceivedResponse {
+                    result,
+                    connection: None,
+                };
             }
         };
         let body = match Limited::new(body, MAX_BODY_BYTES).collect().await {
             Ok(body) => lease.keep(body.to_bytes()),
             Err(error) => {
-                let outcome = error.downcast_ref().map_or(Outcome::Error, outcome_of_error);
+                let outcome = error
+                    .downcast_ref()
+                    .map_or(Outcome::Error, outcome_of_error);
                 let result = ExchangeResult::without_response(outcome);
-                return ReceivedResponse { result, connection: None };
+                return ReceivedResponse {
+                    result,
+                    connection: None,
+                };
             }
         };
         let outcome = outcome_of_status(head.status, &head.headers);
         let body = (outcome == Outcome::Served).then_some(body);
         let connection = (!ends_with_connection).then_some(connection);
-        ReceivedResponse { result: ExchangeResult { outcome, report, body }, connection }
+        ReceivedResponse {
+            result: ExchangeResult {
+                outcome,
+                report,
+                body,
+            },
+            connection,
+        }
     }
 
     /// Room in memory for a response's body.
@@ -105,10 +128,14 @@
 }
 
 fn outcome_of_status(status: StatusCode, headers: &HeaderMap) -> Outcome {
-    let rejected = headers.get(REJECTED).is_some_and(|value| value == REJECTED_TRUE);
+    let rejected = headers
+        .get(REJECTED)
+        .is_some_and(|value| value == REJECTED_TRUE);
     match status {
         StatusCode::OK => Outcome::Served,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => Outcome::Rejected,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => {
+            Outcome::Rejected
+        }
         // Nothing else promises that the request never ran.
         _ => Outcome::Error,
     }
@@ -118,12 +145,23 @@
 /// may have died. Where the bytes made no sense, something responds there: that is a failure like another, and no
 /// reason to take the endpoint out of use.
 pub fn outcome_of_error(error: &hyper::Error) -> Outcome {
-    if error.is_parse() || is_invalid_data(error) { Outcome::Error } else { Outcome::Reset }
+    if error.is_parse() || is_invalid_data(error) {
+        Outcome::Error
+    } else {
+        Outcome::Reset
+    }
 }
 
 fn is_invalid_data(error: &hyper::Error) -> bool {
-    let cause = error.source().and_then(|cause| cause.downcast_ref::<io::Error>());
-    cause.is_some_and(|cause| matches!(cause.kind(), ErrorKind::InvalidInput | ErrorKind::InvalidData))
+    let cause = error
+        .source()
+        .and_then(|cause| cause.downcast_ref::<io::Error>());
+    cause.is_some_and(|cause| {
+        matches!(
+            cause.kind(),
+            ErrorKind::InvalidInput | ErrorKind::InvalidData
+        )
+    })
 }
 
 #[cfg(test)]
--- a/crates/node/tests/ci_sources.rs
+++ b/crates/node/tests/ci_sources.rs
@@ -34,9 +34,18 @@
     }
 
     fn run(&self, script: &str, argument: &str) -> (bool, String) {
-        let script = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../.ci").join(script);
-        let ended = Command::new(script).arg(argument).current_dir(&self.0).output().expect("it runs");
-        (ended.status.success(), String::from_utf8_lossy(&ended.stdout).into_owned())
+        let script = Path::new(env!("CARGO_MANIFEST_DIR"))
+            .join("../../.ci")
+            .join(script);
+        let ended = Command::new(script)
+            .arg(argument)
+            .current_dir(&self.0)
+            .output()
+            .expect("it runs");
+        (
+            ended.status.success(),
+            String::from_utf8_lossy(&ended.stdout).into_owned(),
+        )
     }
 }
 
@@ -49,25 +58,43 @@
 #[test]
 fn tests_are_allowed_in_test_files_only() {
     let test = "fn helper() {}\n\n#[test]\nfn works() {}\n";
-    for file in
-        ["crate/tests/a.rs", "crate/tests/deep/a.rs", "crate/src/part/tests.rs", "crate/src/part_tests.rs"]
-    {
+    for file in [
+        "crate/tests/a.rs",
+        "crate/tests/deep/a.rs",
+        "crate/src/part/tests.rs",
+        "crate/src/part_tests.rs",
+    ] {
         let (passed, printed) = Sources::new(&[(file, test)]).check();
         assert!(passed, "{file}: {printed}");
     }
-    for file in ["crate/src/part.rs", "crate/src/part_test.rs", "crate/src/tests_of_part.rs"] {
+    for file in [
+        "crate/src/part.rs",
+        "crate/src/part_test.rs",
+        "crate/src/tests_of_part.rs",
+    ] {
         let sources = Sources::new(&[("crate/src/tests.rs", test), (file, test)]);
         let (passed, printed) = sources.check();
-        assert!(!passed && printed.contains(&format!("{file} has tests")), "{file}: {printed}");
+        assert!(
+            !passed && printed.contains(&format!("{file} has tests")),
+            "{file}: {printed}"
+        );
         assert!(!printed.contains("src/tests.rs has tests"), "{printed}");
     }
 }
 
 #[test]
 fn every_form_of_the_test_attribute_counts() {
-    for attribute in ["#[test]", "    #[test]", "#[tokio::test]", "#[tokio::test(start_paused = true)]"] {
+    for attribute in [
+        "#[test]",
+        "    #[test]",
+        "#[tokio::test]",
+        "#[tokio::test(start_paused = true)]",
+    ] {
         let text = format!("mod part {{\n{attribute}\nfn works() {{}}\n}}\n");
-        assert!(!Sources::new(&[("src/part.rs", &text)]).check().0, "{attribute}");
+        assert!(
+            !Sources::new(&[("src/part.rs", &text)]).check().0,
+            "{attribute}"
+        );
     }
     let declaration = "#[cfg(test)]\n#[path = \"part_tests.rs\"]\nmod tests;\n";
     let (passed, printed) = Sources::new(&[("src/part.rs", declaration)]).check();
@@ -83,7 +110,10 @@
     let too_long = line.repeat(MAX_LINES + 1);
     for file in ["src/part.rs", "tests/part.rs"] {
         let (passed, printed) = Sources::new(&[(file, &too_long)]).check();
-        assert!(!passed && printed.contains("has 401 non-blank lines of 400"), "{file}: {printed}");
+        assert!(
+            !passed && printed.contains("has 401 non-blank lines of 400"),
+            "{file}: {printed}"
+        );
     }
 }
 
@@ -112,7 +142,10 @@
     ];
     for call in io {
         let (passed, printed) = check(good, &format!("{DECISION}fn act() {{ {call}; }}\n"));
-        assert!(!passed && printed.contains("does input or output"), "{call}: {printed}");
+        assert!(
+            !passed && printed.contains("does input or output"),
+            "{call}: {printed}"
+        );
     }
     assert!(!check(good, &"fn one() {}\n".repeat(400)).0);
     assert!(!check(good, &format!("// {}\n", "a".repeat(108))).0);
--- a/crates/node/tests/ci_verdict.rs
+++ b/crates/node/tests/ci_verdict.rs
@@ -47,15 +47,26 @@
 /// What `cargo test -- --list` prints.
 fn listing() -> String {
     let list = |program: &TestProgram| {
-        let tests: String = program.tests.iter().map(|test| format!("{test}: test\n")).collect();
-        format!("{}\n{tests}\n{} tests, 0 benchmarks\n", program.announcement, program.tests.len())
+        let tests: String = program
+            .tests
+            .iter()
+            .map(|test| format!("{test}: test\n"))
+            .collect();
+        format!(
+            "{}\n{tests}\n{} tests, 0 benchmarks\n",
+            program.announcement,
+            program.tests.len()
+        )
     };
     PROGRAMS.iter().map(list).collect()
 }
 
 /// What a run prints in which these tests failed.
 fn output(failed: &[&str]) -> String {
-    PROGRAMS.iter().map(|program| program_output(program, failed)).collect()
+    PROGRAMS
+        .iter()
+        .map(|program| program_output(program, failed))
+        .collect()
 }
 
 fn program_output(program: &TestProgram, failed: &[&str]) -> String {
@@ -69,8 +80,10 @@
     if failed.is_empty() {
         return format!("{}\n\ntest result: ok. {counts}\n", program.announcement);
     }
-    let panics: String =
-        failed.iter().map(|test| format!("---- {test} stdout ----\n    left: 1\n")).collect();
+    let panics: String = failed
+        .iter()
+        .map(|test| format!("---- {test} stdout ----\n    left: 1\n"))
+        .collect();
     let names: String = failed.iter().map(|test| format!("    {test}\n")).collect();
     format!(
         "{}\n\nfailures:\n\n{panics}\nfailures:\n{names}\ntest result: FAILED. {counts}\n",
@@ -91,43 +104,63 @@
 fn verdict_on(listing: &str, output: &str, status: i32, known: Option<&str>) -> Verdict {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let number = NUMBER.fetch_add(1, Ordering::SeqCst);
-    let folder =
-        Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("verdict-{}-{number}", std::process::id()));
+    let folder = Path::new(env!("CARGO_TARGET_TMPDIR"))
+        .join(format!("verdict-{}-{number}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let file = |name: &str, text: &str| {
         std::fs::write(folder.join(name), text).expect("a file");
         folder.join(name)
     };
     let mut command = Command::new(Path::new(env!("CARGO_MANIFEST_DIR")).join("../../.ci/verdict"));
-    command.arg(file("tests", listing)).arg(file("output", output)).arg(status.to_string());
+    command
+        .arg(file("tests", listing))
+        .arg(file("output", output))
+        .arg(status.to_string());
     command.arg(known.map_or(folder.join("none"), |known| file("known", known)));
     let ended = command.output().expect("it runs");
     std::fs::remove_dir_all(&folder).expect("its folder");
-    Verdict { passed: ended.status.success(), printed: String::from_utf8_lossy(&ended.stdout).into_owned() }
+    Verdict {
+        passed: ended.status.success(),
+        printed: String::from_utf8_lossy(&ended.stdout).into_owned(),
+    }
 }
 
 #[test]
 fn a_run_without_failures_passes_and_any_other_failure_does_not() {
     assert!(verdict(&output(&[]), 0, None).passed);
     let Verdict { passed, printed } = verdict(&output(&[SLOW]), 101, None);
-    assert!(!passed && printed.contains("node/tests/node.rs::slow failed"), "{printed}");
+    assert!(
+        !passed && printed.contains("node/tests/node.rs::slow failed"),
+        "{printed}"
+    );
     let both = output(&[QUICK, SLOW]);
-    assert!(!verdict(&both, 101, Some(SLOW_IS_KNOWN)).passed, "one of them is not listed");
+    assert!(
+        !verdict(&both, 101, Some(SLOW_IS_KNOWN)).passed,
+        "one of them is not listed"
+    );
     let other = SLOW_IS_KNOWN.replace(SLOW, "ottertiller_balancer/src/lib.rs::quick");
     let Verdict { passed, printed } = verdict(&output(&[QUICK]), 101, Some(&other));
-    assert!(!passed && printed.contains("quick failed"), "the listed one is in another file: {printed}");
+    assert!(
+        !passed && printed.contains("quick failed"),
+        "the listed one is in another file: {printed}"
+    );
 }
 
 #[test]
 fn tests_of_the_same_path_and_name_in_two_packages_are_told_apart() {
-    let (node, adapter) =
-        ("ottertiller/src/main.rs::quick", "ottertiller_simulator_adapter/src/main.rs::quick");
+    let (node, adapter) = (
+        "ottertiller/src/main.rs::quick",
+        "ottertiller_simulator_adapter/src/main.rs::quick",
+    );
     for (failed, other) in [(node, adapter), (adapter, node)] {
         let known = |test: &str| SLOW_IS_KNOWN.replace(SLOW, test);
         let Verdict { passed, printed } = verdict(&output(&[failed]), 101, Some(&known(failed)));
         assert!(passed && printed.contains(&known(failed)), "{printed}");
         let Verdict { passed, printed } = verdict(&output(&[failed]), 101, Some(&known(other)));
-        assert!(!passed && printed.contains(&format!("{failed} failed")), "{printed}");
+        assert!(
+            !passed && printed.contains(&format!("{failed} failed")),
+            "{printed}"
+        );
     }
 }
 
@@ -135,15 +168,24 @@
 fn two_programs_of_the_same_name_fail() {
     let twice = |text: String| text.replace("ottertiller_simulator_adapter", "ottertiller");
     let Verdict { passed, printed } = verdict_on(&twice(listing()), &twice(output(&[])), 0, None);
-    assert!(!passed && printed.contains("same name: ottertiller/src/main.rs"), "{printed}");
+    assert!(
+        !passed && printed.contains("same name: ottertiller/src/main.rs"),
+        "{printed}"
+    );
 }
 
 #[test]
 fn a_listed_failure_is_passed_over_and_printed() {
     let Verdict { passed, printed } = verdict(&output(&[SLOW]), 101, Some(SLOW_IS_KNOWN));
-    assert!(passed && printed.contains(SLOW_IS_KNOWN.trim_end()), "{printed}");
+    assert!(
+        passed && printed.contains(SLOW_IS_KNOWN.trim_end()),
+        "{printed}"
+    );
     let Verdict { passed, printed } = verdict(&output(&[]), 0, Some(SLOW_IS_KNOWN));
-    assert!(passed && printed.contains("it passes: node/tests/node.rs::slow"), "{printed}");
+    assert!(
+        passed && printed.contains("it passes: node/tests/node.rs::slow"),
+        "{printed}"
+    );
 }
 
 #[test]
@@ -176,7 +218,10 @@
         four.concat(),
     ];
     for known in cases {
-        assert!(!verdict(&output(&[SLOW]), 101, Some(&known)).passed, "{known}");
+        assert!(
+            !verdict(&output(&[SLOW]), 101, Some(&known)).passed,
+            "{known}"
+        );
         assert!(!verdict(&output(&[]), 0, Some(&known)).passed, "{known}");
     }
 }
@@ -192,5 +237,8 @@
     let unnamed = whole.replace("1 failed", "2 failed");
     assert!(!verdict(&unnamed, 101, Some(SLOW_IS_KNOWN)).passed);
     let no_failure = verdict(&output(&[]), 101, Some(SLOW_IS_KNOWN));
-    assert!(!no_failure.passed, "something ended badly, though no test failed");
+    assert!(
+        !no_failure.passed,
+        "something ended badly, though no test failed"
+    );
 }
--- a/crates/node/tests/node/client_disconnect.rs
+++ b/crates/node/tests/node/client_disconnect.rs
@@ -23,15 +23,35 @@
         let (node, mut watch, _discovery) = start_node(&settings(LONG_MS, ""), &[]);
         let mut leaving = node.client();
         leaving.send_correct();
-        let more = |_| format!("GET /read/1 HTTP/1.1\r\nHost: s\r\n{}\r\n", common_headers(LONG_MS));
+        let more = |_| {
+            format!(
+                "GET /read/1 HTTP/1.1\r\nHost: s\r\n{}\r\n",
+                common_headers(LONG_MS)
+            )
+        };
         leaving.write((0..behind).map(more).collect::<String>().as_bytes());
         leaving.shutdown_write();
-        assert!(leaving.is_closed(), "with {behind} requests behind it, and no response");
+        assert!(
+            leaving.is_closed(),
+            "with {behind} requests behind it, and no response"
+        );
         let endpoint = ScriptedEndpoint::start(|_| ok("served"));
-        watch.send_line(&list(9, false, &[entry("s-0", endpoint.address, "in_service")]));
+        watch.send_line(&list(
+            9,
+            false,
+            &[entry("s-0", endpoint.address, "in_service")],
+        ));
         let mut marker = node.client();
-        assert_eq!(marker.request("GET /read/marker", &common_headers(LONG_MS), b"").body, b"served");
-        assert_eq!(endpoint.next_request().message.start_line, "GET /read/marker HTTP/1.1");
+        assert_eq!(
+            marker
+                .request("GET /read/marker", &common_headers(LONG_MS), b"")
+                .body,
+            b"served"
+        );
+        assert_eq!(
+            endpoint.next_request().message.start_line,
+            "GET /read/marker HTTP/1.1"
+        );
         assert_eq!(endpoint.request_count(), 1);
     }
 }
--- a/crates/node/tests/node/connections.rs
+++ b/crates/node/tests/node/connections.rs
@@ -6,7 +6,8 @@
 #[test]
 fn a_connection_is_reused_and_closed_before_its_endpoint_would_close_it() {
     let endpoint = ScriptedEndpoint::start(|_| ok(""));
-    let (node, _watch, _discovery) = start_node(&settings(LONG_MS, r#","IdleClose":2000"#), &[&endpoint]);
+    let (node, _watch, _discovery) =
+        start_node(&settings(LONG_MS, r#","IdleClose":2000"#), &[&endpoint]);
     let mut client = node.client();
     for _ in 0..5 {
         assert_eq!(client.request_read().status(), 200);
@@ -37,7 +38,10 @@
     }
     clients.iter_mut().for_each(Client::send_correct);
     // Either may be seen first.
-    let seen = BTreeSet::from([endpoint.next_request().connection, endpoint.next_request().connection]);
+    let seen = BTreeSet::from([
+        endpoint.next_request().connection,
+        endpoint.next_request().connection,
+    ]);
     assert_eq!(seen, BTreeSet::from([0, 1]));
     gate_keeper.release_one();
     gate_keeper.release_one();
@@ -100,10 +104,16 @@
     let mut client = node.client();
     for number in 0..5 {
         assert_eq!(client.request_read().status(), 200);
-        assert_eq!(endpoint.next_request().connection, number, "no connection of the endpoint before");
+        assert_eq!(
+            endpoint.next_request().connection,
+            number,
+            "no connection of the endpoint before"
+        );
         let (old, new) = (format!("s-{number}"), format!("s-{}", number + 1));
-        let changes =
-            [entry(&old, endpoint.address, "terminated"), entry(&new, endpoint.address, "in_service")];
+        let changes = [
+            entry(&old, endpoint.address, "terminated"),
+            entry(&new, endpoint.address, "in_service"),
+        ];
         watch.send_line(&list(9 + number as u64, false, &changes));
         assert_eq!(endpoint.next_closed(), number);
     }
--- a/crates/node/tests/node/discovery.rs
+++ b/crates/node/tests/node/discovery.rs
@@ -5,13 +5,19 @@
 
 #[test]
 fn a_draining_endpoint_gets_nothing_new_and_its_idle_connection_closes() {
-    let (old, new) = (ScriptedEndpoint::start(|_| ok("old")), ScriptedEndpoint::start(|_| ok("new")));
+    let (old, new) = (
+        ScriptedEndpoint::start(|_| ok("old")),
+        ScriptedEndpoint::start(|_| ok("new")),
+    );
     let (node, mut watch, _discovery) = start_node(&settings(LONG_MS, ""), &[&old]);
     assert_eq!(node.client().request_read().body, b"old");
     watch.send_line(&list(
         9,
         false,
-        &[entry("s-0", old.address, "terminating"), entry("s-1", new.address, "in_service")],
+        &[
+            entry("s-0", old.address, "terminating"),
+            entry("s-1", new.address, "in_service"),
+        ],
     ));
     old.next_closed();
     for _ in 0..10 {
@@ -22,7 +28,10 @@
 
 #[test]
 fn an_endpoint_that_moves_is_found_at_its_new_address() {
-    let (old, new) = (ScriptedEndpoint::start(|_| ok("old")), ScriptedEndpoint::start(|_| ok("new")));
+    let (old, new) = (
+        ScriptedEndpoint::start(|_| ok("old")),
+        ScriptedEndpoint::start(|_| ok("new")),
+    );
     let (node, mut watch, _discovery) = start_node(&settings(LONG_MS, ""), &[&old]);
     assert_eq!(node.client().request_read().body, b"old");
     watch.send_line(&list(9, false, &[entry("s-0", new.address, "in_service")]));
@@ -32,7 +41,10 @@
 
 #[test]
 fn a_broken_watch_is_resumed_where_it_broke() {
-    let (old, new) = (ScriptedEndpoint::start(|_| ok("old")), ScriptedEndpoint::start(|_| ok("new")));
+    let (old, new) = (
+        ScriptedEndpoint::start(|_| ok("old")),
+        ScriptedEndpoint::start(|_| ok("new")),
+    );
     let (node, mut watch, discovery) = start_node(&settings(LONG_MS, ""), &[&old]);
     assert!(
         watch.start_line.contains("stream=1&index=7 "),
@@ -43,7 +55,11 @@
     node.client().request_read();
     drop(watch);
     let mut watch = discovery.next_call();
-    assert!(watch.start_line.contains("index=12 "), "{}", watch.start_line);
+    assert!(
+        watch.start_line.contains("index=12 "),
+        "{}",
+        watch.start_line
+    );
     // It keeps serving from the list it has, and tries again if a call fails.
     assert_eq!(node.client().request_read().body, b"old");
     watch.write("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n");
@@ -60,8 +76,10 @@
     let down = RefusingAddress::reserve();
     let config = config(down.address, &settings(LONG_MS, ""), 1024);
     let known = entry("s-0", endpoint.address, "in_service");
-    let node =
-        NodeProcess::start(&config.replace("\"endpoints\":[]", &format!("\"endpoints\":[{known}]")), "");
+    let node = NodeProcess::start(
+        &config.replace("\"endpoints\":[]", &format!("\"endpoints\":[{known}]")),
+        "",
+    );
     wait_until(|| node.is_ready(), "readiness");
     assert_eq!(node.client().request_read().body, b"known");
 }
@@ -87,12 +105,20 @@
 
 #[test]
 fn lists_may_be_indented() {
-    let (old, new) = (ScriptedEndpoint::start(|_| ok("old")), ScriptedEndpoint::start(|_| ok("new")));
+    let (old, new) = (
+        ScriptedEndpoint::start(|_| ok("old")),
+        ScriptedEndpoint::start(|_| ok("new")),
+    );
     let (node, mut watch, _discovery) = start_node(&settings(LONG_MS, ""), &[&old]);
     assert_eq!(node.client().request_read().body, b"old");
-    let entries = [entry("s-0", old.address, "terminating"), entry("s-1", new.address, "in_service")];
+    let entries = [
+        entry("s-0", old.address, "terminating"),
+        entry("s-1", new.address, "in_service"),
+    ];
     // Each line in a piece of its own: only the list itself shows where it ends.
-    let entries = entries.map(|entry| entry.replace(',', ",\n      ")).join(",\n    ");
+    let entries = entries
+        .map(|entry| entry.replace(',', ",\n      "))
+        .join(",\n    ");
     let head = "{\n  \"index\": 9,\n  \"snapshot\": false,\n  \"endpoints\": [";
     for line in format!("{head}\n    {entries}\n  ]\n}}").lines() {
         watch.send_line(line);
@@ -110,9 +136,18 @@
     let (node, mut watch, _discovery) = start_node(&settings(LONG_MS, ""), &[]);
     watch.send_line("{\"index\": 9, \"endpoints\": 5}");
     watch.send_line("\u{1}\u{2}");
-    let nowhere = r#"{"name":"s-2","address":"nowhere","zone":"a","status":"in_service"}"#.to_owned();
+    let nowhere =
+        r#"{"name":"s-2","address":"nowhere","zone":"a","status":"in_service"}"#.to_owned();
     let strange = entry("s-3", endpoint.address, "asleep");
-    watch.send_line(&list(10, true, &[nowhere, strange, entry("s-0", endpoint.address, "in_service")]));
+    watch.send_line(&list(
+        10,
+        true,
+        &[
+            nowhere,
+            strange,
+            entry("s-0", endpoint.address, "in_service"),
+        ],
+    ));
     assert_eq!(node.client().request_read().status(), 200);
     node.wait_for_log("malformed endpoint list dropped");
     node.wait_for_log("malformed endpoint list entry dropped");
@@ -124,10 +159,16 @@
     let endpoint = ScriptedEndpoint::start(|_| ok(""));
     let discovery = DiscoveryServer::start();
     let node = NodeProcess::start(&config(discovery.address, &polling_settings(), 1024), "");
-    discovery.next_call().write("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n");
+    discovery
+        .next_call()
+        .write("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n");
     let mut watch = discovery.next_call();
     watch.start_stream();
-    watch.send_line(&list(8, true, &[entry("s-0", endpoint.address, "in_service")]));
+    watch.send_line(&list(
+        8,
+        true,
+        &[entry("s-0", endpoint.address, "in_service")],
+    ));
     assert_eq!(node.client().request_read().status(), 200);
 }
 
@@ -138,12 +179,19 @@
     for known in ["", r#""known":{"index":7},"#] {
         let discovery = DiscoveryServer::start();
         let config = config(discovery.address, &polling_settings(), 1024);
-        let config = config.replace(r#""known":{"index":7,"snapshot":true,"endpoints":[]},"#, known);
+        let config = config.replace(
+            r#""known":{"index":7,"snapshot":true,"endpoints":[]},"#,
+            known,
+        );
         let node = NodeProcess::start(&config, "");
         let mut watch = discovery.next_call();
         assert!(!node.is_ready(), "it has no endpoint list");
         watch.start_stream();
-        watch.send_line(&list(8, true, &[entry("s-0", endpoint.address, "in_service")]));
+        watch.send_line(&list(
+            8,
+            true,
+            &[entry("s-0", endpoint.address, "in_service")],
+        ));
         wait_until(|| node.is_ready(), "readiness");
         assert_eq!(node.client().request_read().status(), 200);
     }
@@ -158,10 +206,16 @@
     let down = Instant::now();
     drop(watch);
     for _ in 0..60 {
-        discovery.next_call().write("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n");
+        discovery
+            .next_call()
+            .write("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n");
     }
     // Calls half the grace period apart would take 12 s, and those of a node that backs off to 2 s over a minute.
-    assert!(down.elapsed() < Duration::from_secs(40), "{:?}", down.elapsed());
+    assert!(
+        down.elapsed() < Duration::from_secs(40),
+        "{:?}",
+        down.elapsed()
+    );
 }
 
 #[test]
@@ -169,11 +223,23 @@
     let [drained, kept, new] =
         ["drained", "kept", "new"].map(|name| ScriptedEndpoint::start(move |_| ok(name)));
     let (node, mut watch, _discovery) = start_node(&settings(LONG_MS, ""), &[&drained, &kept]);
-    watch.send_line(&list(12, false, &[entry("s-0", drained.address, "terminating")]));
-    watch.send_line(&list(11, false, &[entry("s-0", drained.address, "in_service")]));
+    watch.send_line(&list(
+        12,
+        false,
+        &[entry("s-0", drained.address, "terminating")],
+    ));
+    watch.send_line(&list(
+        11,
+        false,
+        &[entry("s-0", drained.address, "in_service")],
+    ));
     // Lists are applied in order: once the last one shows, all before it have been applied.
     watch.send_line(&list(13, false, &[entry("s-2", new.address, "in_service")]));
-    watch.send_line(&list(14, false, &[entry("s-1", kept.address, "terminating")]));
+    watch.send_line(&list(
+        14,
+        false,
+        &[entry("s-1", kept.address, "terminating")],
+    ));
     let mut client = node.client();
     wait_until(|| client.request_read().body == b"new", "the last list");
     let before = drained.request_count();
@@ -217,15 +283,31 @@
     let (node, mut watch, _discovery) = start_node(&settings(LONG_MS, ""), &[]);
     // Indented, as the longest form; all listen at the same two places.
     let entries: Vec<_> = (0..ENDPOINTS)
-        .map(|n| entry(&format!("s-{n:08x}"), endpoints[n % 2].address, "in_service"))
+        .map(|n| {
+            entry(
+                &format!("s-{n:08x}"),
+                endpoints[n % 2].address,
+                "in_service",
+            )
+        })
         .map(|entry| entry.replace(',', ",\n      "))
         .collect();
     watch.send_line(&list(9, true, &entries));
     let mut client = node.client();
     (0..50).for_each(|_| assert_eq!(client.request_read().status(), 200));
     // All but the last drain: an endpoint dropped from the list would leave none to serve.
-    let drain = |n: usize| entry(&format!("s-{n:08x}"), endpoints[n % 2].address, "terminating");
-    watch.send_line(&list(10, false, &(0..ENDPOINTS - 1).map(drain).collect::<Vec<_>>()));
+    let drain = |n: usize| {
+        entry(
+            &format!("s-{n:08x}"),
+            endpoints[n % 2].address,
+            "terminating",
+        )
+    };
+    watch.send_line(&list(
+        10,
+        false,
+        &(0..ENDPOINTS - 1).map(drain).collect::<Vec<_>>(),
+    ));
     let last = &endpoints[(ENDPOINTS - 1) % 2];
     let before = last.request_count();
     wait_until(
--- a/crates/node/tests/node/endpoint_choice.rs
+++ b/crates/node/tests/node/endpoint_choice.rs
@@ -45,11 +45,19 @@
 #[test]
 fn an_endpoint_that_reports_idle_is_joined() {
     for (idle, crowded) in [
-        ("X-Load-Report: concurrent=0,depth=0\r\n", "X-Load-Report: concurrent=9.970,depth=5.012\r\n"),
-        ("X-Load-Report: inflight=0,queue=0\r\n", "X-Load-Report: inflight=10,queue=5\r\n"),
+        (
+            "X-Load-Report: concurrent=0,depth=0\r\n",
+            "X-Load-Report: concurrent=9.970,depth=5.012\r\n",
+        ),
+        (
+            "X-Load-Report: inflight=0,queue=0\r\n",
+            "X-Load-Report: inflight=10,queue=5\r\n",
+        ),
     ] {
-        let idle = ScriptedEndpoint::start(move |_| ScriptedReply::Response("200 OK", idle, vec![]));
-        let crowded = ScriptedEndpoint::start(move |_| ScriptedReply::Response("200 OK", crowded, vec![]));
+        let idle =
+            ScriptedEndpoint::start(move |_| ScriptedReply::Response("200 OK", idle, vec![]));
+        let crowded =
+            ScriptedEndpoint::start(move |_| ScriptedReply::Response("200 OK", crowded, vec![]));
         let (node, _watch, _discovery) = start_node(&settings(LONG_MS, ""), &[&idle, &crowded]);
         let mut client = node.client();
         (0..60).for_each(|_| assert_eq!(client.request_read().status(), 200));
--- a/crates/node/tests/node/forwarding.rs
+++ b/crates/node/tests/node/forwarding.rs
@@ -8,17 +8,30 @@
 #[test]
 fn requests_and_responses_are_forwarded_unchanged() {
     let endpoint = ScriptedEndpoint::start(|_| {
-        ScriptedReply::Response("200 OK", "X-Load-Report: inflight=1,queue=0\r\n", vec![0, 255, 10])
+        ScriptedReply::Response(
+            "200 OK",
+            "X-Load-Report: inflight=1,queue=0\r\n",
+            vec![0, 255, 10],
+        )
     });
     let (node, _watch, _discovery) = start_node(&settings(LONG_MS, ""), &[&endpoint]);
     let headers = format!("{}Idempotency-Key: 5c0f6e\r\n", common_headers(5000));
-    let response = node.client().request("POST /submit/7f3a?x=1%202", &headers, b"body\0");
+    let response = node
+        .client()
+        .request("POST /submit/7f3a?x=1%202", &headers, b"body\0");
     assert_eq!((response.status(), response.body), (200, vec![0, 255, 10]));
     let seen = endpoint.next_request().message;
     assert_eq!(seen.start_line, "POST /submit/7f3a?x=1%202 HTTP/1.1");
-    assert_eq!((seen.body.as_slice(), seen.header("idempotency-key")), (&b"body\0"[..], Some("5c0f6e")));
+    assert_eq!(
+        (seen.body.as_slice(), seen.header("idempotency-key")),
+        (&b"body\0"[..], Some("5c0f6e"))
+    );
     assert!(headers.contains(seen.header("x-call-id").expect("an id")));
-    let budget: u64 = seen.header("x-budget-ms").expect("a budget").parse().expect("a number");
+    let budget: u64 = seen
+        .header("x-budget-ms")
+        .expect("a budget")
+        .parse()
+        .expect("a number");
     assert!((1..=5000).contains(&budget), "{budget}");
 }
 
@@ -37,7 +50,10 @@
         let (one, two) = endpoint_pair_with_first_reply(ending);
         let (node, _watch, _discovery) = start_node(&settings(LONG_MS, ""), &[&one, &two]);
         let response = node.client().request_correct();
-        assert!(![200, 429, 503].contains(&response.status()), "case {i}: {response:?}");
+        assert!(
+            ![200, 429, 503].contains(&response.status()),
+            "case {i}: {response:?}"
+        );
         assert_eq!(one.request_count() + two.request_count(), 1, "case {i}");
 
         let (one, two) = endpoint_pair_with_first_reply(ending);
@@ -49,13 +65,16 @@
 /// Such a response ends with its connection (RFC 9112, section 6.3).
 #[test]
 fn a_response_without_a_length_is_whole_if_its_connection_is_closed_in_order() {
-    for head in
-        ["HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", "HTTP/1.0 200 OK\r\n\r\n"]
-    {
+    for head in [
+        "HTTP/1.1 200 OK\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n",
+        "HTTP/1.0 200 OK\r\n\r\n",
+    ] {
         for length in [0, 5, 64 * 1024] {
             let body = vec![b'x'; length];
             let whole = [head.as_bytes(), &body].concat();
-            let endpoint = ScriptedEndpoint::start(move |_| ScriptedReply::CloseAfter(whole.clone()));
+            let endpoint =
+                ScriptedEndpoint::start(move |_| ScriptedReply::CloseAfter(whole.clone()));
             let (node, _watch, _discovery) = start_node(&settings(LONG_MS, ""), &[&endpoint]);
             let mut client = node.client();
             for _ in 0..2 {
@@ -80,7 +99,10 @@
             let (one, two) = endpoint_pair_with_first_reply(ending);
             let (node, _watch, _discovery) = start_node(&settings(LONG_MS, ""), &[&one, &two]);
             let response = node.client().request_correct();
-            assert!(![200, 429, 503].contains(&response.status()), "case {i}: {response:?}");
+            assert!(
+                ![200, 429, 503].contains(&response.status()),
+                "case {i}: {response:?}"
+            );
             assert_eq!(one.request_count() + two.request_count(), 1, "case {i}");
         }
     }
@@ -101,18 +123,25 @@
     watch.send_line(&list(
         9,
         true,
-        &[entry("s-0", refusing.address, "in_service"), entry("s-1", endpoint.address, "in_service")],
+        &[
+            entry("s-0", refusing.address, "in_service"),
+            entry("s-1", endpoint.address, "in_service"),
+        ],
     ));
     for _ in 0..8 {
         let response = node.client().request_correct();
-        assert_eq!((response.status(), response.body.as_slice()), (200, &b"here"[..]));
+        assert_eq!(
+            (response.status(), response.body.as_slice()),
+            (200, &b"here"[..])
+        );
     }
 }
 
 #[test]
 fn a_shed_request_is_told_when_to_retry() {
-    let endpoint =
-        ScriptedEndpoint::start(|_| ScriptedReply::Response("503 Full", "X-Rejected: 1\r\n", vec![]));
+    let endpoint = ScriptedEndpoint::start(|_| {
+        ScriptedReply::Response("503 Full", "X-Rejected: 1\r\n", vec![])
+    });
     let (node, _watch, _discovery) = start_node(&settings(LONG_MS, ""), &[&endpoint]);
     let response = node.client().request_correct();
     assert_eq!(response.status(), 503);
@@ -126,9 +155,15 @@
     let mut client = node.client();
     let asked = Instant::now();
     let response = client.request("POST /correct/1", &common_headers(600), b"sheet");
-    assert!(asked.elapsed() >= Duration::from_millis(300), "it was waited for");
+    assert!(
+        asked.elapsed() >= Duration::from_millis(300),
+        "it was waited for"
+    );
     // It may still run: to shed it would promise that it never did.
-    assert!(![200, 429, 503].contains(&response.status()), "{response:?}");
+    assert!(
+        ![200, 429, 503].contains(&response.status()),
+        "{response:?}"
+    );
     endpoint.next_closed();
 }
 
@@ -138,11 +173,16 @@
     let start = || {
         let silent = silent.clone();
         ScriptedEndpoint::start(move |m| {
-            if silent.swap(false, Ordering::SeqCst) { ScriptedReply::NoResponse } else { ok(&m.start_line) }
+            if silent.swap(false, Ordering::SeqCst) {
+                ScriptedReply::NoResponse
+            } else {
+                ok(&m.start_line)
+            }
         })
     };
     let (one, two) = (start(), start());
-    let (node, _watch, _discovery) = start_node(&settings(4000, r#","ParallelTries":true"#), &[&one, &two]);
+    let (node, _watch, _discovery) =
+        start_node(&settings(4000, r#","ParallelTries":true"#), &[&one, &two]);
     // From the first responses the node learns how long an attempt may take before it is hedged.
     let mut client = node.client();
     (0..150).for_each(|_| assert_eq!(client.request_read().status(), 200));
--- a/crates/node/tests/node/limits.rs
+++ b/crates/node/tests/node/limits.rs
@@ -34,7 +34,13 @@
     let mut busy = [node.client(), node.client()];
     busy.iter_mut().for_each(Client::send_correct);
     wait_until(
-        || endpoints.iter().map(ScriptedEndpoint::request_count).sum::<usize>() == 2,
+        || {
+            endpoints
+                .iter()
+                .map(ScriptedEndpoint::request_count)
+                .sum::<usize>()
+                == 2
+        },
         "both requests at endpoints",
     );
     let mut waiting = node.client();
@@ -57,28 +63,41 @@
     let crowd: Vec<Client> = (0..60).map(|_| node.client()).collect();
     node.wait_for_log("cannot accept");
     drop(crowd);
-    wait_until(|| node.client().request_read().status() == 200, "service after the crowd");
+    wait_until(
+        || node.client().request_read().status() == 200,
+        "service after the crowd",
+    );
 }
 
 /// The system allows fewer descriptors than the configuration, and clients that say nothing stay for good.
 #[test]
 fn idle_clients_leave_descriptors_for_discovery_endpoints_and_new_clients() {
-    let (old, new) = (ScriptedEndpoint::start(|_| ok("old")), ScriptedEndpoint::start(|_| ok("new")));
+    let (old, new) = (
+        ScriptedEndpoint::start(|_| ok("old")),
+        ScriptedEndpoint::start(|_| ok("new")),
+    );
     let shell = "ulimit -n 40; ";
-    let (node, watch, discovery) = start_node_with_descriptors(&settings(LONG_MS, ""), &[&old], 1024, shell);
+    let (node, watch, discovery) =
+        start_node_with_descriptors(&settings(LONG_MS, ""), &[&old], 1024, shell);
     assert_eq!(node.client().request_read().body, b"old");
     // Discovery goes down, and while it is, more idle clients come than there are descriptors.
     drop(watch);
     let mut down = discovery.next_call();
     let crowd: Vec<Client> = (0..120).map(|_| node.client()).collect();
-    assert!(node.is_ready(), "a client that comes behind the crowd is served");
+    assert!(
+        node.is_ready(),
+        "a client that comes behind the crowd is served"
+    );
     down.write("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n");
     drop(down);
     // Both the next call to discovery and the connection to an endpoint that is new take a descriptor.
     let mut watch = discovery.next_call();
     watch.start_stream();
     watch.send_line(&list(9, true, &[entry("s-1", new.address, "in_service")]));
-    wait_until(|| node.client().request_read().body == b"new", "a response from the new endpoint");
+    wait_until(
+        || node.client().request_read().body == b"new",
+        "a response from the new endpoint",
+    );
     assert!(node.is_ready());
     assert_eq!(node.count_log_lines("cannot accept"), 0);
     drop(crowd);
@@ -97,12 +116,25 @@
         client
     };
     let mut halves: Vec<Client> = (0..17).map(|_| half(&node)).collect();
-    let mut responses = halves.iter_mut().map(|client| client.receive().expect("a response"));
-    let shed = responses.by_ref().find(|response| response.status() != 408).expect("one without room");
-    assert_eq!((shed.status(), shed.header("retry-after")), (503, Some("1.500")));
+    let mut responses = halves
+        .iter_mut()
+        .map(|client| client.receive().expect("a response"));
+    let shed = responses
+        .by_ref()
+        .find(|response| response.status() != 408)
+        .expect("one without room");
+    assert_eq!(
+        (shed.status(), shed.header("retry-after")),
+        (503, Some("1.500"))
+    );
     assert!(responses.all(|response| response.status() == 408));
     // The room is free again.
-    assert_eq!(node.client().request("POST /correct/1", &common_headers(5000), &[b'x'; 65536]).status(), 200);
+    assert_eq!(
+        node.client()
+            .request("POST /correct/1", &common_headers(5000), &[b'x'; 65536])
+            .status(),
+        200
+    );
 }
 
 /// A day brings ever new connections, ids, keys and endpoints, most of these at the addresses of removed ones.
@@ -127,8 +159,11 @@
                 watch.send_line(&list(9 + number, false, &changes));
             }
             // A request with a deadline in ten minutes leaves nothing behind for ten minutes.
-            let response =
-                client.request(&format!("POST /correct/{number}{i}"), &common_headers(600_000), b"sheet");
+            let response = client.request(
+                &format!("POST /correct/{number}{i}"),
+                &common_headers(600_000),
+                b"sheet",
+            );
             assert_eq!(response.status(), 200);
         }
         node.memory_kb()
--- a/crates/node/tests/node/logging.rs
+++ b/crates/node/tests/node/logging.rs
@@ -6,7 +6,8 @@
 #[test]
 fn a_log_that_nobody_reads_blocks_nothing() {
     let endpoint = ScriptedEndpoint::start(|_| ok(""));
-    let (mut node, _watch, _discovery) = start_node_without_log_reader(&settings(LONG_MS, ""), &[&endpoint]);
+    let (mut node, _watch, _discovery) =
+        start_node_without_log_reader(&settings(LONG_MS, ""), &[&endpoint]);
     assert_eq!(node.client().request_read().status(), 200);
     node.terminate();
     assert_eq!(node.wait_for_exit().code(), Some(0));
--- a/crates/node/tests/node/reload.rs
+++ b/crates/node/tests/node/reload.rs
@@ -4,7 +4,10 @@
 
 #[test]
 fn a_new_discovery_address_is_watched_at_once_and_the_list_stays_until_its_first_snapshot() {
-    let (old, new) = (ScriptedEndpoint::start(|_| ok("old")), ScriptedEndpoint::start(|_| ok("new")));
+    let (old, new) = (
+        ScriptedEndpoint::start(|_| ok("old")),
+        ScriptedEndpoint::start(|_| ok("new")),
+    );
     let (node, watch, discovery) = start_node(&settings(LONG_MS, ""), &[&old]);
     let elsewhere = DiscoveryServer::start();
     // What the file knows is older than the list that the node has: here, that there is no endpoint.
@@ -35,11 +38,16 @@
     assert_eq!(node.client().request_read().body, b"here");
     // The old watch goes on, and a valid file still takes effect.
     let moved = ScriptedEndpoint::start(|_| ok("there"));
-    watch.send_line(&list(9, false, &[entry("s-0", moved.address, "in_service")]));
+    watch.send_line(&list(
+        9,
+        false,
+        &[entry("s-0", moved.address, "in_service")],
+    ));
     endpoint.next_closed();
     assert_eq!(node.client().request_read().body, b"there");
     let elsewhere = DiscoveryServer::start();
-    let other = config(elsewhere.address, &settings(LONG_MS + 1, ""), 512).replace("\"n0\"", "\"n1\"");
+    let other =
+        config(elsewhere.address, &settings(LONG_MS + 1, ""), 512).replace("\"n0\"", "\"n1\"");
     node.reload(&other);
     elsewhere.next_call();
     node.wait_for_log("configuration changes that need a restart: name, limits, settings");
@@ -51,7 +59,10 @@
 
 #[test]
 fn where_the_list_must_be_polled_it_is_polled_at_the_new_address() {
-    let (old, new) = (ScriptedEndpoint::start(|_| ok("old")), ScriptedEndpoint::start(|_| ok("new")));
+    let (old, new) = (
+        ScriptedEndpoint::start(|_| ok("old")),
+        ScriptedEndpoint::start(|_| ok("new")),
+    );
     let discovery = DiscoveryServer::start();
     let node = NodeProcess::start(&config(discovery.address, &polling_settings(), 1024), "");
     let mut watch = discovery.next_call();
@@ -84,6 +95,11 @@
     node.reload(&config(discovery.address, &settings(LONG_MS, ""), 1024));
     node.wait_for_log("configuration reloaded");
     gate_keeper.release_one();
-    assert_eq!(held.receive().expect("a request in flight has a response").body, b"held");
+    assert_eq!(
+        held.receive()
+            .expect("a request in flight has a response")
+            .body,
+        b"held"
+    );
     assert_eq!(node.wait_for_exit().code(), Some(0));
 }
--- a/crates/node/tests/node/shutdown.rs
+++ b/crates/node/tests/node/shutdown.rs
@@ -13,7 +13,12 @@
             ok("held")
         })
     });
-    let all = || endpoints.iter().map(ScriptedEndpoint::request_count).sum::<usize>();
+    let all = || {
+        endpoints
+            .iter()
+            .map(ScriptedEndpoint::request_count)
+            .sum::<usize>()
+    };
     let (mut node, _watch, _discovery) = start_node(&settings(LONG_MS, ""), &endpoints.each_ref());
     let (mut held, mut kept, mut idle) = (node.client(), node.client(), node.client());
     assert_eq!(kept.request("GET /health/ready", "", b"").status(), 200);
@@ -30,8 +35,13 @@
     wait_until(|| all() == 3, "all requests at endpoints");
     (0..3).for_each(|_| gate_keeper.release_one());
     for client in [&mut held, &mut late, &mut kept] {
-        let response = client.receive().expect("an admitted request has a response");
-        assert_eq!((response.status(), response.header("connection")), (200, close));
+        let response = client
+            .receive()
+            .expect("an admitted request has a response");
+        assert_eq!(
+            (response.status(), response.header("connection")),
+            (200, close)
+        );
         assert!(client.is_closed());
     }
     assert!(idle.is_closed());
@@ -44,7 +54,10 @@
     let endpoint = ScriptedEndpoint::start(|_| ok(""));
     let (mut node, _watch, _discovery) = start_node(&settings(LONG_MS, ""), &[&endpoint]);
     let (mut half, mut idle, mut new) = (node.client(), node.client(), node.client());
-    assert_eq!((half.request_read().status(), idle.request_read().status()), (200, 200));
+    assert_eq!(
+        (half.request_read().status(), idle.request_read().status()),
+        (200, 200)
+    );
     let request = format!(
         "POST /correct/1 HTTP/1.1\r\nHost: s\r\nContent-Length: 5\r\n{}\r\n",
         common_headers(LONG_MS)
@@ -57,8 +70,13 @@
     // It comes too late to be served before the node must exit, so it is shed at once.
     for client in [&mut half, &mut new] {
         client.write(format!("{}sheet", rest).as_bytes());
-        let response = client.receive().expect("a request that the node has read is answered");
-        assert_eq!((response.status(), response.header("connection")), (503, Some("close")));
+        let response = client
+            .receive()
+            .expect("a request that the node has read is answered");
+        assert_eq!(
+            (response.status(), response.header("connection")),
+            (503, Some("close"))
+        );
         assert_eq!(response.header("retry-after"), Some("1.500"));
     }
     assert_eq!(node.wait_for_exit().code(), Some(0));
@@ -77,6 +95,12 @@
     node.terminate();
     node.wait_for_log("shutdown requested");
     node.terminate();
-    assert_eq!(client.receive().expect("a response before the end").status(), 504);
+    assert_eq!(
+        client
+            .receive()
+            .expect("a response before the end")
+            .status(),
+        504
+    );
     assert_eq!(node.wait_for_exit().code(), Some(0));
 }
--- a/crates/node/tests/node/slow_clients.rs
+++ b/crates/node/tests/node/slow_clients.rs
@@ -26,7 +26,11 @@
     assert_eq!(body.receive().map(|response| response.status()), Some(408));
     assert!(body.is_closed());
     // The limit is 3 s; the rest is for a slow machine.
-    assert!(connected.elapsed() < Duration::from_secs(10), "{:?}", connected.elapsed());
+    assert!(
+        connected.elapsed() < Duration::from_secs(10),
+        "{:?}",
+        connected.elapsed()
+    );
     assert_eq!(idle.request_read().status(), 200);
     assert_eq!(endpoint.request_count(), 3);
 }
@@ -37,16 +41,27 @@
     let endpoint = ScriptedEndpoint::start(|_| ok(""));
     let (node, _watch, _discovery) = start_node(&settings(LONG_MS, ""), &[&endpoint]);
     let mut clients: Vec<Client> = (0..20).map(|_| node.client()).collect();
-    let head = |_: &Client| format!("POST /correct/1 HTTP/1.1\r\nHost: s\r\n{}", common_headers(LONG_MS));
+    let head = |_: &Client| {
+        format!(
+            "POST /correct/1 HTTP/1.1\r\nHost: s\r\n{}",
+            common_headers(LONG_MS)
+        )
+    };
     let heads: Vec<String> = clients.iter().map(head).collect();
-    clients.iter_mut().zip(&heads).for_each(|(client, head)| client.write(head.as_bytes()));
+    clients
+        .iter_mut()
+        .zip(&heads)
+        .for_each(|(client, head)| client.write(head.as_bytes()));
     assert!(node.is_ready(), "it has had a turn");
     node.signal("-STOP");
     clients.iter_mut().for_each(|client| client.write(b"\r\n"));
     std::thread::sleep(Duration::from_millis(2500));
     node.signal("-CONT");
     for client in &mut clients {
-        assert!(client.receive().is_some(), "a response, whatever its status");
+        assert!(
+            client.receive().is_some(),
+            "a response, whatever its status"
+        );
     }
 }
 
@@ -57,10 +72,20 @@
     let (node, _watch, _discovery) =
         start_node_with_descriptors(&settings(LONG_MS, ""), &[&endpoint], 60, "");
     let mut good = [node.client(), node.client()];
-    good.iter_mut().for_each(|client| assert_eq!(client.request_read().status(), 200));
-    let crowd: Vec<Client> = (0..100).map(|_| node.client()).collect();
-    assert_eq!(node.client().request_read().status(), 200, "a new one among the crowd");
     good.iter_mut()
-        .for_each(|client| assert_eq!(client.request_read().status(), 200, "a client that was there before"));
+        .for_each(|client| assert_eq!(client.request_read().status(), 200));
+    let crowd: Vec<Client> = (0..100).map(|_| node.client()).collect();
+    assert_eq!(
+        node.client().request_read().status(),
+        200,
+        "a new one among the crowd"
+    );
+    good.iter_mut().for_each(|client| {
+        assert_eq!(
+            client.request_read().status(),
+            200,
+            "a client that was there before"
+        )
+    });
     drop(crowd);
 }
--- a/crates/node/tests/node/soak.rs
+++ b/crates/node/tests/node/soak.rs
@@ -80,7 +80,12 @@
     ScriptedEndpoint::start(move |message| {
         let id = message.header("x-call-id").expect("an id").to_owned();
         let kind = ReplyKind::of(random.lock().expect("the random numbers").next_u32());
-        attempts.lock().expect("the attempts").entry(id.clone()).or_default().push(kind);
+        attempts
+            .lock()
+            .expect("the attempts")
+            .entry(id.clone())
+            .or_default()
+            .push(kind);
         kind.reply(&id)
     })
 }
@@ -98,16 +103,26 @@
             let number = sent.len();
             let is_idempotent = number % 2 == 0;
             let id = format!("{name}{number:06x}");
-            let headers = format!("X-Call-Id: {id}\r\nX-Caller: acme\r\nX-Budget-Ms: {DEADLINE_MS}\r\n");
+            let headers =
+                format!("X-Call-Id: {id}\r\nX-Caller: acme\r\nX-Budget-Ms: {DEADLINE_MS}\r\n");
             let after_termination = terminated.get().map(Instant::elapsed);
             let started = Instant::now();
-            let (start, body) =
-                if is_idempotent { ("GET /read/1f", &b""[..]) } else { ("POST /correct/1f", &b"sheet"[..]) };
+            let (start, body) = if is_idempotent {
+                ("GET /read/1f", &b""[..])
+            } else {
+                ("POST /correct/1f", &b"sheet"[..])
+            };
             let answer = client.try_request(start, &headers, body);
             let answer = answer.map(|message| (message.status(), message.body));
             let has_ended = answer.is_none() || client.has_ended();
             let waited = started.elapsed();
-            sent.push(SentRequest { id, is_idempotent, after_termination, waited, answer });
+            sent.push(SentRequest {
+                id,
+                is_idempotent,
+                after_termination,
+                waited,
+                answer,
+            });
             if has_ended {
                 connection = Client::try_connect(address);
             }
@@ -118,7 +133,8 @@
 
 /// Sends signals in series, SIGTERM among them, and kills the node as early as it may be.
 fn restart(node: &mut NodeProcess, random: &mut Pcg32, terminated: &OnceLock<Instant>) {
-    let mut pause = |max_ms: u32| sleep(Duration::from_millis(u64::from(random.next_u32() % max_ms)));
+    let mut pause =
+        |max_ms: u32| sleep(Duration::from_millis(u64::from(random.next_u32() % max_ms)));
     pause(500);
     node.signal("-HUP");
     pause(10);
@@ -139,7 +155,12 @@
     node.kill();
 }
 
-fn check(seed: u64, requests: &[SentRequest], attempts: &BTreeMap<String, Vec<ReplyKind>>, has_crowd: bool) {
+fn check(
+    seed: u64,
+    requests: &[SentRequest],
+    attempts: &BTreeMap<String, Vec<ReplyKind>>,
+    has_crowd: bool,
+) {
     for request in requests {
         let id = &request.id;
         let replies = attempts.get(id).map(Vec::as_slice).unwrap_or_default();
@@ -147,11 +168,21 @@
         match &request.answer {
             None => {
                 let when = (request.after_termination, request.waited);
-                assert!(replies.is_empty(), "seed {seed}: {id}, {replies:?}, has no answer: {when:?}");
+                assert!(
+                    replies.is_empty(),
+                    "seed {seed}: {id}, {replies:?}, has no answer: {when:?}"
+                );
                 let may_be_closed = has_crowd || request.after_termination.is_some();
-                assert!(may_be_closed, "seed {seed}: {id} was closed with no answer: {when:?}");
+                assert!(
+                    may_be_closed,
+                    "seed {seed}: {id} was closed with no answer: {when:?}"
+                );
             }
-            Some((200, body)) => assert_eq!(body, id.as_bytes(), "seed {seed}: an answer of another request"),
+            Some((200, body)) => assert_eq!(
+                body,
+                id.as_bytes(),
+                "seed {seed}: an answer of another request"
+            ),
             Some((429 | 503, _)) => {
                 let is_safe = request.is_idempotent || !may_have_run;
                 assert!(is_safe, "seed {seed}: {id} was refused and may have run");
@@ -160,7 +191,10 @@
         }
         if !request.is_idempotent {
             let earlier = &replies[..replies.len().saturating_sub(1)];
-            assert!(!earlier.iter().any(|reply| reply.may_have_run()), "seed {seed}: {id} was sent twice");
+            assert!(
+                !earlier.iter().any(|reply| reply.may_have_run()),
+                "seed {seed}: {id} was sent twice"
+            );
         }
     }
 }
@@ -178,24 +212,48 @@
     let has_crowd = seed % 2 == 1;
     let attempts = Attempts::default();
     let endpoints = [0, 1, 2].map(|number| start_endpoint(seed, number, &attempts));
-    let (mut node, _watch, _discovery) = start_node(&settings(DEADLINE_MS, ""), &endpoints.each_ref());
-    let crowd: Vec<_> = (0..if has_crowd { CROWD } else { 0 }).map(|_| node.client()).collect();
+    let (mut node, _watch, _discovery) =
+        start_node(&settings(DEADLINE_MS, ""), &endpoints.each_ref());
+    let crowd: Vec<_> = (0..if has_crowd { CROWD } else { 0 })
+        .map(|_| node.client())
+        .collect();
     let terminated = Arc::new(OnceLock::new());
     let clients: Vec<_> = (0..CLIENTS)
-        .map(|client| start_client(node.address, format!("{seed:06x}{client:04x}"), terminated.clone()))
+        .map(|client| {
+            start_client(
+                node.address,
+                format!("{seed:06x}{client:04x}"),
+                terminated.clone(),
+            )
+        })
         .collect();
     restart(&mut node, &mut Pcg32::seed_from_u64(seed), &terminated);
-    let requests: Vec<_> = clients.into_iter().flat_map(|client| client.join().expect("a client")).collect();
+    let requests: Vec<_> = clients
+        .into_iter()
+        .flat_map(|client| client.join().expect("a client"))
+        .collect();
     drop(crowd);
-    check(seed, &requests, &attempts.lock().expect("the attempts"), has_crowd);
+    check(
+        seed,
+        &requests,
+        &attempts.lock().expect("the attempts"),
+        has_crowd,
+    );
     totals.sent += requests.len();
-    totals.answered += requests.iter().filter(|request| request.answer.is_some()).count();
-    totals.served += requests.iter().filter(|request| matches!(request.answer, Some((200, _)))).count();
+    totals.answered += requests
+        .iter()
+        .filter(|request| request.answer.is_some())
+        .count();
+    totals.served += requests
+        .iter()
+        .filter(|request| matches!(request.answer, Some((200, _))))
+        .count();
 }
 
 #[test]
 fn restarts_under_load_lose_repeat_and_mix_up_nothing() {
-    let seeds = std::env::var(SEEDS_VARIABLE).map_or(SEEDS, |text| text.parse().expect("a number of seeds"));
+    let seeds = std::env::var(SEEDS_VARIABLE)
+        .map_or(SEEDS, |text| text.parse().expect("a number of seeds"));
     let mut totals = Totals::default();
     (0..seeds).for_each(|seed| play(seed, &mut totals));
     println!("{seeds} seeds: {totals:?}");
--- a/crates/node/tests/node/support/client.rs
+++ b/crates/node/tests/node/support/client.rs
@@ -19,17 +19,25 @@
     /// A connection, unless nobody accepts it.
     pub fn try_connect(address: SocketAddr) -> Option<Self> {
         let stream = TcpStream::connect(address).ok()?;
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a time-out");
         Some(Client(BufReader::new(stream)))
     }
 
     pub fn send(&mut self, start: &str, headers: &str, body: &[u8]) {
-        self.0.get_mut().write_all(&request_bytes(start, headers, body)).expect("the node reads");
+        self.0
+            .get_mut()
+            .write_all(&request_bytes(start, headers, body))
+            .expect("the node reads");
     }
 
     /// The response to a request; `None` if the connection ends without one.
     pub fn try_request(&mut self, start: &str, headers: &str, body: &[u8]) -> Option<Message> {
-        self.0.get_mut().write_all(&request_bytes(start, headers, body)).ok()?;
+        self.0
+            .get_mut()
+            .write_all(&request_bytes(start, headers, body))
+            .ok()?;
         self.receive()
     }
 
@@ -71,7 +79,10 @@
 
     /// Closes this side of the connection: to the node, this client has disconnected.
     pub fn shutdown_write(&mut self) {
-        self.0.get_mut().shutdown(Shutdown::Write).expect("it is open");
+        self.0
+            .get_mut()
+            .shutdown(Shutdown::Write)
+            .expect("it is open");
     }
 
     /// Whether the node closes this connection without another byte.
@@ -84,7 +95,11 @@
 }
 
 fn request_bytes(start: &str, headers: &str, body: &[u8]) -> Vec<u8> {
-    let length = if body.is_empty() { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
+    let length = if body.is_empty() {
+        String::new()
+    } else {
+        format!("Content-Length: {}\r\n", body.len())
+    };
     let head = format!("{start} HTTP/1.1\r\nHost: service.internal\r\n{headers}{length}\r\n");
     [head.as_bytes(), body].concat()
 }
--- a/crates/node/tests/node/support/config.rs
+++ b/crates/node/tests/node/support/config.rs
@@ -12,8 +12,12 @@
             r#"{{"Name":"{name}","Target":{objective_ms},"GiveUp":{objective_ms},"Idempotency":"{kind}","Group":"zone","Window":60000}}"#
         )
     };
-    let classes =
-        [class("read", "free"), class("submit", "guarded"), class("correct", "single_shot")].join(",");
+    let classes = [
+        class("read", "free"),
+        class("submit", "guarded"),
+        class("correct", "single_shot"),
+    ]
+    .join(",");
     format!(
         r#"{{"Classes":[{classes}],"Projects":[{{"Name":"acme","AllowancePerS":1000,"Share":1}}],
         "Localities":["a","b"],"HostTypes":["m"],"Quantum":5,"OverShareWorth":1,"Rules":{{"DrainGrace":2000}},
@@ -26,12 +30,19 @@
 /// Settings of a site where the endpoint list must be polled.
 pub fn polling_settings() -> String {
     let settings = settings(LONG_MS, "").replacen('{', r#"{"RegistryMode":"ask","#, 1);
-    settings.replace(r#""DrainGrace":2000"#, r#""DrainGrace":2000,"MustAskIn":1000"#)
+    settings.replace(
+        r#""DrainGrace":2000"#,
+        r#""DrainGrace":2000,"MustAskIn":1000"#,
+    )
 }
 
 /// A configuration with that many descriptors for sockets.
 pub fn config(discovery: SocketAddr, settings: &str, sockets: usize) -> String {
-    config_with(discovery, settings, &format!(r#""memory_mb":192,"sockets":{sockets}"#))
+    config_with(
+        discovery,
+        settings,
+        &format!(r#""memory_mb":192,"sockets":{sockets}"#),
+    )
 }
 
 /// A configuration with these limits.
--- a/crates/node/tests/node/support/discovery.rs
+++ b/crates/node/tests/node/support/discovery.rs
@@ -28,8 +28,16 @@
             for stream in listener.incoming() {
                 let stream = stream.expect("a connection");
                 let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
-                let Some(message) = read_message(&mut reader) else { continue };
-                if call_sender.send(DiscoveryCall { start_line: message.start_line, stream }).is_err() {
+                let Some(message) = read_message(&mut reader) else {
+                    continue;
+                };
+                if call_sender
+                    .send(DiscoveryCall {
+                        start_line: message.start_line,
+                        stream,
+                    })
+                    .is_err()
+                {
                     return;
                 }
             }
@@ -38,7 +46,9 @@
     }
 
     pub fn next_call(&self) -> DiscoveryCall {
-        self.calls.recv_timeout(TEST_TIMEOUT).expect("a call to discovery")
+        self.calls
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("a call to discovery")
     }
 }
 
@@ -52,7 +62,9 @@
     }
 
     pub fn write(&mut self, text: &str) {
-        self.stream.write_all(text.as_bytes()).expect("the node listens to discovery");
+        self.stream
+            .write_all(text.as_bytes())
+            .expect("the node listens to discovery");
     }
 }
 
@@ -65,5 +77,8 @@
 
 /// An endpoint list: a snapshot or a delta.
 pub fn list(index: u64, snapshot: bool, entries: &[String]) -> String {
-    format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#, entries.join(","))
+    format!(
+        r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#,
+        entries.join(",")
+    )
 }
--- a/crates/node/tests/node/support/endpoint.rs
+++ b/crates/node/tests/node/support/endpoint.rs
@@ -60,7 +60,11 @@
                 spawn(move || serve(stream, connection, &events, &count, &*script));
             }
         });
-        ScriptedEndpoint { address, events, request_count }
+        ScriptedEndpoint {
+            address,
+            events,
+            request_count,
+        }
     }
 
     pub fn next_request(&self) -> ReceivedRequest {
@@ -82,7 +86,9 @@
 
     /// Whether a connection has closed; passes over what came before that.
     pub fn has_closed_connection(&self) -> bool {
-        self.events.try_iter().any(|event| matches!(event, EndpointEvent::ConnectionClosed { .. }))
+        self.events
+            .try_iter()
+            .any(|event| matches!(event, EndpointEvent::ConnectionClosed { .. }))
     }
 
     pub fn request_count(&self) -> usize {
@@ -90,7 +96,9 @@
     }
 
     fn next_event(&self) -> EndpointEvent {
-        self.events.recv_timeout(TEST_TIMEOUT).expect("an event at the endpoint")
+        self.events
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("an event at the endpoint")
     }
 }
 
@@ -105,11 +113,17 @@
     let mut writer = stream;
     while let Some(message) = read_message(&mut reader) {
         request_count.fetch_add(1, Ordering::SeqCst);
-        let request = ReceivedRequest { connection, message: message.clone() };
+        let request = ReceivedRequest {
+            connection,
+            message: message.clone(),
+        };
         let _ = events.send(EndpointEvent::Request(request));
         match script(&message) {
             ScriptedReply::Response(status, headers, body) => {
-                let head = format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n", body.len());
+                let head = format!(
+                    "HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n",
+                    body.len()
+                );
                 let _ = writer.write_all(&[head.as_bytes(), &body].concat());
             }
             ScriptedReply::CloseAfter(bytes) => {
@@ -119,7 +133,9 @@
             }
             ScriptedReply::ResetAfter(bytes) => {
                 let _ = writer.write_all(&bytes);
-                SockRef::from(&writer).set_linger(Some(Duration::ZERO)).expect("a reset at its close");
+                SockRef::from(&writer)
+                    .set_linger(Some(Duration::ZERO))
+                    .expect("a reset at its close");
                 break;
             }
             ScriptedReply::Raw(bytes) => drop(writer.write_all(bytes)),
@@ -146,5 +162,11 @@
 pub fn endpoint_pair_with_first_reply(
     first_reply: impl Fn() -> ScriptedReply + Send + Sync + 'static,
 ) -> (ScriptedEndpoint, ScriptedEndpoint) {
-    endpoint_pair(move |before| if before == 0 { first_reply() } else { ok("second") })
+    endpoint_pair(move |before| {
+        if before == 0 {
+            first_reply()
+        } else {
+            ok("second")
+        }
+    })
 }
--- a/crates/node/tests/node/support/message.rs
+++ b/crates/node/tests/node/support/message.rs
@@ -13,7 +13,11 @@
 
 impl Message {
     pub fn status(&self) -> u16 {
-        self.start_line.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status")
+        self.start_line
+            .split(' ')
+            .nth(1)
+            .and_then(|status| status.parse().ok())
+            .expect("a status")
     }
 
     pub fn header(&self, name: &str) -> Option<&str> {
@@ -25,17 +29,29 @@
 pub fn read_message(stream: &mut impl BufRead) -> Option<Message> {
     let mut line = || {
         let mut line = String::new();
-        stream.read_line(&mut line).ok().filter(|n| *n > 0).map(|_| line.trim_end().to_owned())
+        stream
+            .read_line(&mut line)
+            .ok()
+            .filter(|n| *n > 0)
+            .map(|_| line.trim_end().to_owned())
     };
     let start_line = line()?;
     let mut headers = BTreeMap::new();
     loop {
         let header = line()?;
-        let Some((name, value)) = header.split_once(": ") else { break };
+        let Some((name, value)) = header.split_once(": ") else {
+            break;
+        };
         headers.insert(name.to_lowercase(), value.to_owned());
     }
-    let length = headers.get("content-length").map_or(0, |length| length.parse().expect("a length"));
+    let length = headers
+        .get("content-length")
+        .map_or(0, |length| length.parse().expect("a length"));
     let mut body = vec![0; length];
     stream.read_exact(&mut body).ok()?;
-    Some(Message { start_line, headers, body })
+    Some(Message {
+        start_line,
+        headers,
+        body,
+    })
 }
--- a/crates/node/tests/node/support/refusing_address.rs
+++ b/crates/node/tests/node/support/refusing_address.rs
@@ -14,7 +14,14 @@
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         socket.bind(&any_port.into()).expect("a port");
-        let address = socket.local_addr().expect("its address").as_socket().expect("an IP address");
-        RefusingAddress { address, _socket: socket }
+        let address = socket
+            .local_addr()
+            .expect("its address")
+            .as_socket()
+            .expect("an IP address");
+        RefusingAddress {
+            address,
+            _socket: socket,
+        }
     }
 }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -54,7 +54,13 @@
     #[error("a load report of {0} values")]
     TooManyReportValues(usize),
     #[error("{field}: points to {count} x {size} bytes at {start} of a tail of {tail}")]
-    OutsideTail { field: &'static str, start: usize, count: usize, size: usize, tail: usize },
+    OutsideTail {
+        field: &'static str,
+        start: usize,
+        count: usize,
+        size: usize,
+        tail: usize,
+    },
     #[error("{0}")]
     Settings(#[from] SettingsError),
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -24,7 +24,10 @@
     /// Starts an instance from the text of its settings.
     pub fn start(settings: &[u8], seed: u64) -> Result<Self, RecordError> {
         let site = settings::parse(settings)?;
-        Ok(Instance { balancer: Balancer::new(site.settings, seed), columns: site.columns })
+        Ok(Instance {
+            balancer: Balancer::new(site.settings, seed),
+            columns: site.columns,
+        })
     }
 
     /// Lets the balancer decide. The report, if any, becomes a part of the event.
@@ -51,7 +54,9 @@
     catch_unwind(AssertUnwindSafe(decide)).map_err(|panic| {
         let text = panic.downcast_ref::<String>().map(String::as_str);
         let text = text.or(panic.downcast_ref::<&str>().copied());
-        DecisionPanic { message: text.unwrap_or("the decisions panicked").to_string() }
+        DecisionPanic {
+            message: text.unwrap_or("the decisions panicked").to_string(),
+        }
     })
 }
 
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -19,7 +19,10 @@
     let mut session = Session::default();
     while let Some(batch) = wire::read_batch(input)? {
         let reply = session.answer(&batch)?;
-        output.write_all(&reply).and_then(|()| output.flush()).map_err(AdapterError::Write)?;
+        output
+            .write_all(&reply)
+            .and_then(|()| output.flush())
+            .map_err(AdapterError::Write)?;
     }
     Ok(())
 }
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -18,23 +18,38 @@
         let mut reply = Reply::default();
         for (index, record) in batch.records().enumerate() {
             let played = record.and_then(|record| self.play(batch.clock, record, &mut reply));
-            played.map_err(|cause| AdapterError::Record { batch: batch.number, record: index, cause })?;
+            played.map_err(|cause| AdapterError::Record {
+                batch: batch.number,
+                record: index,
+                cause,
+            })?;
         }
         Ok(reply.into_frame(batch.number))
     }
 
-    fn play(&mut self, now: Duration, record: Record, reply: &mut Reply) -> Result<(), RecordError> {
-        let Record { instance: number, input } = record;
+    fn play(
+        &mut self,
+        now: Duration,
+        record: Record,
+        reply: &mut Reply,
+    ) -> Result<(), RecordError> {
+        let Record {
+            instance: number,
+            input,
+        } = record;
         match input {
             Input::Start { seed, settings } => {
-                self.instances.insert(number, Instance::start(&settings, seed)?);
+                self.instances
+                    .insert(number, Instance::start(&settings, seed)?);
             }
             Input::Stop => {
                 self.instances.remove(&number);
             }
             Input::Event { event, report } => {
                 // An event for an instance that has stopped is late, and has no effect.
-                let Some(instance) = self.instances.get_mut(&number) else { return Ok(()) };
+                let Some(instance) = self.instances.get_mut(&number) else {
+                    return Ok(());
+                };
                 match instance.handle(now, event, report) {
                     Ok(actions) => actions.iter().for_each(|action| reply.push(number, action)),
                     Err(panic) => {
--- a/crates/simulator-adapter/src/wire/fields.rs
+++ b/crates/simulator-adapter/src/wire/fields.rs
@@ -16,7 +16,10 @@
     }
 
     fn bytes<const N: usize>(&mut self) -> [u8; N] {
-        let (field, rest) = self.rest.split_first_chunk().expect("a record holds all its fields");
+        let (field, rest) = self
+            .rest
+            .split_first_chunk()
+            .expect("a record holds all its fields");
         self.rest = rest;
         *field
     }
--- a/crates/simulator-adapter/src/wire/record.rs
+++ b/crates/simulator-adapter/src/wire/record.rs
@@ -33,7 +33,10 @@
     /// The instance has been killed.
     Stop,
     /// Something for its decisions. The report, if any, still needs the columns of the instance.
-    Event { event: Event, report: Option<RawLoadReport> },
+    Event {
+        event: Event,
+        report: Option<RawLoadReport>,
+    },
 }
 
 /// A load report whose values have no names yet.
@@ -87,10 +90,12 @@
             EventCode::Request => Ok(Input::without_report(request(fields))),
             EventCode::StreamStarted => Ok(Input::without_report(stream_started(fields))),
             EventCode::AttemptEnded => attempt_ended(fields),
-            EventCode::ClientDisconnected => {
-                Ok(Input::without_report(Event::ClientDisconnected { id: RequestId(fields.u64()) }))
-            }
-            EventCode::Timer => Ok(Input::without_report(Event::Timer { token: fields.u64() })),
+            EventCode::ClientDisconnected => Ok(Input::without_report(Event::ClientDisconnected {
+                id: RequestId(fields.u64()),
+            })),
+            EventCode::Timer => Ok(Input::without_report(Event::Timer {
+                token: fields.u64(),
+            })),
             EventCode::HealthChecked => health_checked(fields),
             EventCode::PeerMessage => {
                 let from = fields.u32();
@@ -101,7 +106,10 @@
     }
 
     fn without_report(event: Event) -> Self {
-        Input::Event { event, report: None }
+        Input::Event {
+            event,
+            report: None,
+        }
     }
 }
 
@@ -109,7 +117,10 @@
     let kind = list_kind(fields.u8())?;
     fields.skip::<4>(); // not needed for any decision
     let entries = slice_of_tail("endpoint entries", fields, tail, ENTRY_SIZE)?;
-    let entries = entries.chunks_exact(ENTRY_SIZE).map(endpoint_entry).collect::<Result<_, _>>()?;
+    let entries = entries
+        .chunks_exact(ENTRY_SIZE)
+        .map(endpoint_entry)
+        .collect::<Result<_, _>>()?;
     Ok(Event::EndpointList { kind, entries })
 }
 
@@ -124,7 +135,15 @@
     // 0 stands for long ago.
     let started = fields.f64();
     let started = (started > 0.0).then(|| millis(started));
-    Ok(EndpointEntry { id, zone, kind, cell, state, weight, started })
+    Ok(EndpointEntry {
+        id,
+        zone,
+        kind,
+        cell,
+        state,
+        weight,
+        started,
+    })
 }
 
 fn request(fields: &mut FieldReader) -> Event {
@@ -151,7 +170,11 @@
     fields.skip::<8>(); // not needed for any decision
     let attempt = fields.u8().into();
     let endpoint = fields.endpoint();
-    Event::StreamStarted { id, attempt, endpoint }
+    Event::StreamStarted {
+        id,
+        attempt,
+        endpoint,
+    }
 }
 
 fn attempt_ended(fields: &mut FieldReader) -> Result<Input, RecordError> {
@@ -165,7 +188,10 @@
         report: None,
     };
     let report = RawLoadReport::decode(fields)?;
-    Ok(Input::Event { event: Event::AttemptEnded(end), report })
+    Ok(Input::Event {
+        event: Event::AttemptEnded(end),
+        report,
+    })
 }
 
 fn health_checked(fields: &mut FieldReader) -> Result<Input, RecordError> {
@@ -176,10 +202,17 @@
         report: None,
     };
     let report = RawLoadReport::decode(fields)?;
-    Ok(Input::Event { event: Event::HealthChecked(end), report })
+    Ok(Input::Event {
+        event: Event::HealthChecked(end),
+        report,
+    })
 }
 
-fn bytes_in_tail(field: &'static str, fields: &mut FieldReader, tail: &[u8]) -> Result<Vec<u8>, RecordError> {
+fn bytes_in_tail(
+    field: &'static str,
+    fields: &mut FieldReader,
+    tail: &[u8],
+) -> Result<Vec<u8>, RecordError> {
     slice_of_tail(field, fields, tail, 1).map(<[u8]>::to_vec)
 }
 
@@ -192,12 +225,15 @@
 ) -> Result<&'a [u8], RecordError> {
     let start = fields.u32() as usize;
     let count = fields.u32() as usize;
-    let end = count.checked_mul(size).and_then(|length| start.checked_add(length));
-    end.and_then(|end| tail.get(start..end)).ok_or(RecordError::OutsideTail {
-        field,
-        start,
-        count,
-        size,
-        tail: tail.len(),
-    })
+    let end = count
+        .checked_mul(size)
+        .and_then(|length| start.checked_add(length));
+    end.and_then(|end| tail.get(start..end))
+        .ok_or(RecordError::OutsideTail {
+            field,
+            start,
+            count,
+            size,
+            tail: tail.len(),
+        })
 }
--- a/crates/simulator-adapter/src/wire/reply.rs
+++ b/crates/simulator-adapter/src/wire/reply.rs
@@ -21,32 +21,44 @@
     pub fn push(&mut self, instance: u16, action: &Action) {
         match action {
             Action::Fail { id } => self.record(ActionCode::Fail, instance).u64(id.0),
-            Action::HealthCheck { endpoint } => {
-                self.record(ActionCode::HealthCheck, instance).endpoint(*endpoint)
-            }
-            Action::Log { text } => self.record(ActionCode::Log, instance).in_tail(text.as_bytes()),
-            Action::SetTimer { after, token } => {
-                self.record(ActionCode::SetTimer, instance).millis(*after).u64(*token)
-            }
-            Action::CancelAttempt { id, attempt } => {
-                self.record(ActionCode::CancelAttempt, instance).u64(id.0).u8(*attempt as u8)
-            }
-            Action::Subscribe { enabled } => {
-                self.record(ActionCode::Subscribe, instance).u8((*enabled).into())
-            }
+            Action::HealthCheck { endpoint } => self
+                .record(ActionCode::HealthCheck, instance)
+                .endpoint(*endpoint),
+            Action::Log { text } => self
+                .record(ActionCode::Log, instance)
+                .in_tail(text.as_bytes()),
+            Action::SetTimer { after, token } => self
+                .record(ActionCode::SetTimer, instance)
+                .millis(*after)
+                .u64(*token),
+            Action::CancelAttempt { id, attempt } => self
+                .record(ActionCode::CancelAttempt, instance)
+                .u64(id.0)
+                .u8(*attempt as u8),
+            Action::Subscribe { enabled } => self
+                .record(ActionCode::Subscribe, instance)
+                .u8((*enabled).into()),
             Action::FetchEndpointList => self.record(ActionCode::FetchEndpointList, instance),
             Action::SendToPeer { to, data } => {
                 let to = to.map_or(ALL_PEERS, |to| to as u16);
-                self.record(ActionCode::SendToPeer, instance).u16(to).in_tail(data)
-            }
-            Action::CloseIdleConnections { endpoint } => {
-                self.record(ActionCode::CloseIdleConnections, instance).endpoint(*endpoint)
+                self.record(ActionCode::SendToPeer, instance)
+                    .u16(to)
+                    .in_tail(data)
             }
+            Action::CloseIdleConnections { endpoint } => self
+                .record(ActionCode::CloseIdleConnections, instance)
+                .endpoint(*endpoint),
             Action::Shed { id, retry_after } => {
                 let retry_after = retry_after.unwrap_or_default();
-                self.record(ActionCode::Shed, instance).u64(id.0).millis(retry_after)
+                self.record(ActionCode::Shed, instance)
+                    .u64(id.0)
+                    .millis(retry_after)
             }
-            Action::StartAttempt { id, endpoint, timeout } => {
+            Action::StartAttempt {
+                id,
+                endpoint,
+                timeout,
+            } => {
                 let record = self.record(ActionCode::StartAttempt, instance);
                 record.u64(id.0).endpoint(*endpoint).millis(*timeout)
             }
@@ -56,7 +68,8 @@
 
     /// Reports that the decisions of an instance panicked.
     pub fn push_fault(&mut self, instance: u16, message: &str) {
-        self.record(ActionCode::Fault, instance).in_tail(message.as_bytes());
+        self.record(ActionCode::Fault, instance)
+            .in_tail(message.as_bytes());
         self.close_record();
     }
 
@@ -78,7 +91,8 @@
 
     fn close_record(&mut self) {
         self.record_count += 1;
-        self.records.resize(self.record_count as usize * ACTION_SIZE, 0);
+        self.records
+            .resize(self.record_count as usize * ACTION_SIZE, 0);
     }
 
     /// Adds bytes to the tail, and a pointer to them to the record.
--- a/crates/simulator-adapter/src/wire/tests.rs
+++ b/crates/simulator-adapter/src/wire/tests.rs
@@ -41,14 +41,20 @@
 fn read(frame: &[u8]) -> Result<Vec<Record>, AdapterError> {
     let batch = read_batch(&mut &frame[..])?.expect("a batch");
     let in_batch = |(index, record): (usize, Result<Record, _>)| {
-        record.map_err(|cause| AdapterError::Record { batch: batch.number, record: index, cause })
+        record.map_err(|cause| AdapterError::Record {
+            batch: batch.number,
+            record: index,
+            cause,
+        })
     };
     batch.records().enumerate().map(in_batch).collect()
 }
 
 /// The only record of a batch.
 fn read_record(record: &str, tail: &str) -> Record {
-    read(&batch(&[padded(record, EVENT_SIZE)], &hex(tail))).expect("legal").remove(0)
+    read(&batch(&[padded(record, EVENT_SIZE)], &hex(tail)))
+        .expect("legal")
+        .remove(0)
 }
 
 fn read_input(record: &str, tail: &str) -> Input {
@@ -56,7 +62,10 @@
 }
 
 fn without_report(event: Event) -> Input {
-    Input::Event { event, report: None }
+    Input::Event {
+        event,
+        report: None,
+    }
 }
 
 fn ms(ms: f64) -> Duration {
@@ -66,9 +75,17 @@
 #[test]
 fn an_empty_batch_gets_an_empty_reply() {
     let frame = hex("00000001 00000000 00000000 40c06e2000000000");
-    let batch = read_batch(&mut &frame[..]).expect("legal").expect("a batch");
-    assert_eq!((batch.number, batch.clock, batch.records().count()), (1, ms(8412.25), 0));
-    assert_eq!(Reply::default().into_frame(1), hex("00000001 00000000 00000000"));
+    let batch = read_batch(&mut &frame[..])
+        .expect("legal")
+        .expect("a batch");
+    assert_eq!(
+        (batch.number, batch.clock, batch.records().count()),
+        (1, ms(8412.25), 0)
+    );
+    assert_eq!(
+        Reply::default().into_frame(1),
+        hex("00000001 00000000 00000000")
+    );
 }
 
 #[test]
@@ -92,13 +109,24 @@
         cost_hint: Some(ms(12.0)),
         client_retry: false,
     };
-    let disconnected = Event::ClientDisconnected { id: RequestId(0x0004_ed23_0e6f_2b19) };
+    let disconnected = Event::ClientDisconnected {
+        id: RequestId(0x0004_ed23_0e6f_2b19),
+    };
     assert_eq!(
         read(&frame).expect("legal"),
         [
-            Record { instance: 3, input: without_report(Event::Request(request)) },
-            Record { instance: 3, input: without_report(Event::Timer { token: 0x4d }) },
-            Record { instance: 5, input: without_report(disconnected) },
+            Record {
+                instance: 3,
+                input: without_report(Event::Request(request))
+            },
+            Record {
+                instance: 3,
+                input: without_report(Event::Timer { token: 0x4d })
+            },
+            Record {
+                instance: 5,
+                input: without_report(disconnected)
+            },
         ]
     );
 }
@@ -124,13 +152,19 @@
         started: Some(ms(6100.0)),
         ..near
     };
-    let list = Event::EndpointList { kind: ListKind::Cached, entries: vec![near, far] };
+    let list = Event::EndpointList {
+        kind: ListKind::Cached,
+        entries: vec![near, far],
+    };
     assert_eq!(input, without_report(list));
 }
 
 #[test]
 fn the_end_of_an_attempt_is_decoded() {
-    let input = read_input("05 0003 000fb0475d3a91c4 00 0a124a07 1b5b 01 4032800000000000 01 00", "");
+    let input = read_input(
+        "05 0003 000fb0475d3a91c4 00 0a124a07 1b5b 01 4032800000000000 01 00",
+        "",
+    );
     let end = AttemptEnd {
         id: RequestId(0x000f_b047_5d3a_91c4),
         attempt: 0,
@@ -145,8 +179,15 @@
 
 #[test]
 fn a_health_check_brings_its_report_under_the_names_of_the_columns() {
-    let input = read_input("08 0001 0a124a07 1b5b 01 3ff0000000000000 03 40400000 3f800000 3f000000", "");
-    let Input::Event { event: Event::HealthChecked(end), report: Some(raw) } = input else {
+    let input = read_input(
+        "08 0001 0a124a07 1b5b 01 3ff0000000000000 03 40400000 3f800000 3f000000",
+        "",
+    );
+    let Input::Event {
+        event: Event::HealthChecked(end),
+        report: Some(raw),
+    } = input
+    else {
         panic!("{input:?}")
     };
     let expected = HealthCheckEnd {
@@ -157,21 +198,41 @@
     };
     assert_eq!(end, expected);
     let report = raw.named(&[Column::Concurrent, Column::Unknown, Column::LoadShare]);
-    let expected = LoadReport { in_flight: Some(3.0), utilisation: Some(0.5), ..LoadReport::default() };
+    let expected = LoadReport {
+        in_flight: Some(3.0),
+        utilisation: Some(0.5),
+        ..LoadReport::default()
+    };
     assert_eq!(report, expected);
 }
 
 #[test]
 fn starts_stops_streams_and_peer_messages_are_decoded() {
     let record = read_record("01 0007 0000000000000009 00000001 00000002", "ff7b7d");
-    let input = Input::Start { seed: 9, settings: b"{}".to_vec() };
+    let input = Input::Start {
+        seed: 9,
+        settings: b"{}".to_vec(),
+    };
     assert_eq!(record, Record { instance: 7, input });
     assert_eq!(read_input("0a 0007", ""), Input::Stop);
-    let input = read_input("04 0001 0000000000000005 4000000000000000 02 00000000 0007", "");
-    let started = Event::StreamStarted { id: RequestId(5), attempt: 2, endpoint: EndpointId(7) };
+    let input = read_input(
+        "04 0001 0000000000000005 4000000000000000 02 00000000 0007",
+        "",
+    );
+    let started = Event::StreamStarted {
+        id: RequestId(5),
+        attempt: 2,
+        endpoint: EndpointId(7),
+    };
     assert_eq!(input, without_report(started));
     let input = read_input("09 0001 00000002 00000000 00000002", "6869");
-    assert_eq!(input, without_report(Event::PeerMessage { from: 2, data: b"hi".to_vec() }));
+    assert_eq!(
+        input,
+        without_report(Event::PeerMessage {
+            from: 2,
+            data: b"hi".to_vec()
+        })
+    );
 }
 
 #[test]
@@ -181,10 +242,19 @@
     let cases = [
         (hex("00000001 0000"), "batch header: 6 of 20 bytes"),
         (with("0a 0001")[..60].to_vec(), "batch 12: 40 of 100 bytes"),
-        (hex("0000000c 7fffffff 00000000 40c06e2000000000"), "batch 12: 2147483647 records do not fit"),
-        (hex("0000000c 00000000 00000000 7ff8000000000000"), "batch 12: the clock is no number"),
+        (
+            hex("0000000c 7fffffff 00000000 40c06e2000000000"),
+            "batch 12: 2147483647 records do not fit",
+        ),
+        (
+            hex("0000000c 00000000 00000000 7ff8000000000000"),
+            "batch 12: the clock is no number",
+        ),
         (with("0b 0001"), "batch 12: record 1: unknown event code 11"),
-        (with("02 0001 04"), "batch 12: record 1: unknown list kind 4"),
+        (
+            with("02 0001 04"),
+            "batch 12: record 1: unknown list kind 4",
+        ),
         (
             with("02 0001 01 00000001 00000000 ffffffff"),
             "batch 12: record 1: endpoint entries: points to 4294967295 x 23 bytes",
@@ -193,7 +263,10 @@
             with("09 0001 00000001 00000003 00000002"),
             "batch 12: record 1: peer message: points to 2 x 1 bytes at 3 of a tail of 4",
         ),
-        (with("08 0001 00000000 0001 08"), "batch 12: record 1: unknown outcome 8"),
+        (
+            with("08 0001 00000000 0001 08"),
+            "batch 12: record 1: unknown outcome 8",
+        ),
         (
             with("08 0001 00000000 0001 01 0000000000000000 05"),
             "batch 12: record 1: a load report of 5 values",
@@ -204,8 +277,14 @@
         assert!(error.starts_with(expected), "{error} instead of {expected}");
     }
     let entry = padded("0a124a07 1b5b 00 00 0000 03", ENTRY_SIZE);
-    let error = read(&batch(&[padded("02 0001 01 00000001 00000000 00000001", EVENT_SIZE)], &entry));
-    assert_eq!(error.expect_err("bad state").to_string(), "batch 12: record 0: unknown endpoint state 3");
+    let error = read(&batch(
+        &[padded("02 0001 01 00000001 00000000 00000001", EVENT_SIZE)],
+        &entry,
+    ));
+    assert_eq!(
+        error.expect_err("bad state").to_string(),
+        "batch 12: record 0: unknown endpoint state 3"
+    );
 }
 
 #[test]
@@ -217,14 +296,37 @@
 fn ids_go_out_as_they_came_in() {
     let tail = "0a90ffff 1b84 02 00 0000 02 3f800000 0000000000000000";
     let input = read_input("02 0003 01 00000001 00000000 00000001", tail);
-    let Input::Event { event: Event::EndpointList { entries, .. }, report: None } = input else {
+    let Input::Event {
+        event: Event::EndpointList { entries, .. },
+        report: None,
+    } = input
+    else {
+        panic!("{input:?}")
+    };
+    let input = read_input(
+        "03 0003 000fffffffffffff 0001 0002 0000000000000000 406e000000000000",
+        "",
+    );
+    let Input::Event {
+        event: Event::Request(new),
+        report: None,
+    } = input
+    else {
         panic!("{input:?}")
     };
-    let input = read_input("03 0003 000fffffffffffff 0001 0002 0000000000000000 406e000000000000", "");
-    let Input::Event { event: Event::Request(new), report: None } = input else { panic!("{input:?}") };
     assert_eq!((new.class, new.tenant, new.cost_hint), (1, 2, None));
     let mut reply = Reply::default();
-    reply.push(3, &Action::StartAttempt { id: new.id, endpoint: entries[0].id, timeout: new.remaining });
-    let expected = padded("4c 0003 000fffffffffffff 0a90ffff 1b84 406e000000000000", ACTION_SIZE);
+    reply.push(
+        3,
+        &Action::StartAttempt {
+            id: new.id,
+            endpoint: entries[0].id,
+            timeout: new.remaining,
+        },
+    );
+    let expected = padded(
+        "4c 0003 000fffffffffffff 0a90ffff 1b84 406e000000000000",
+        ACTION_SIZE,
+    );
     assert_eq!(reply.into_frame(1)[12..], expected);
 }
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -41,7 +41,11 @@
 
 impl Batch {
     fn new() -> Self {
-        Batch { count: 0, records: Vec::new(), tail: Vec::new() }
+        Batch {
+            count: 0,
+            records: Vec::new(),
+            tail: Vec::new(),
+        }
     }
 
     fn record(mut self, code: u8, instance: u16, fields: &[&[u8]]) -> Self {
@@ -58,7 +62,15 @@
     fn start(mut self, instance: u16, settings: &[u8]) -> Self {
         let at = (self.tail.len() as u32).to_be_bytes();
         self.tail.extend(settings);
-        self.record(START, instance, &[&9u64.to_be_bytes(), &at, &(settings.len() as u32).to_be_bytes()])
+        self.record(
+            START,
+            instance,
+            &[
+                &9u64.to_be_bytes(),
+                &at,
+                &(settings.len() as u32).to_be_bytes(),
+            ],
+        )
     }
 
     /// A snapshot of so many ready endpoints.
@@ -74,13 +86,22 @@
         self.record(
             ENDPOINT_LIST,
             instance,
-            &[&[1], &1u32.to_be_bytes(), &at, &u32::from(endpoints).to_be_bytes()],
+            &[
+                &[1],
+                &1u32.to_be_bytes(),
+                &at,
+                &u32::from(endpoints).to_be_bytes(),
+            ],
         )
     }
 
     fn request(self, instance: u16, id: u64) -> Self {
         let remaining = 900f64.to_be_bytes();
-        self.record(REQUEST, instance, &[&id.to_be_bytes(), &[0; 12], &remaining])
+        self.record(
+            REQUEST,
+            instance,
+            &[&id.to_be_bytes(), &[0; 12], &remaining],
+        )
     }
 
     fn frame(self, number: u32) -> Vec<u8> {
@@ -97,11 +118,16 @@
 
 /// The codes of the actions of each reply.
 fn replies(output: &[u8]) -> Vec<Vec<u8>> {
-    let word = |at: usize| u32::from_be_bytes(output[at..at + 4].try_into().expect("four bytes")) as usize;
+    let word =
+        |at: usize| u32::from_be_bytes(output[at..at + 4].try_into().expect("four bytes")) as usize;
     let (mut at, mut replies) = (0, Vec::new());
     while at < output.len() {
         let (length, count) = (word(at + 4), word(at + 8));
-        replies.push((0..count).map(|i| output[at + REPLY_HEADER_SIZE + ACTION_SIZE * i]).collect());
+        replies.push(
+            (0..count)
+                .map(|i| output[at + REPLY_HEADER_SIZE + ACTION_SIZE * i])
+                .collect(),
+        );
         at += REPLY_HEADER_SIZE + length;
     }
     replies
@@ -110,7 +136,12 @@
 #[test]
 fn instances_run_side_by_side_restart_in_a_batch_and_end_with_the_input() {
     let settings = SETTINGS.as_bytes();
-    let first = Batch::new().start(1, settings).list(1, 2).start(2, settings).list(2, 2).frame(1);
+    let first = Batch::new()
+        .start(1, settings)
+        .list(1, 2)
+        .start(2, settings)
+        .list(2, 2)
+        .frame(1);
     let requests = Batch::new().request(1, 5).request(2, 6).frame(2);
     // Instance 1 restarts in one batch; what comes for instance 2 after its stop is late.
     let restart = Batch::new()
@@ -125,39 +156,76 @@
     assert!(output.status.success());
     let replies = replies(&output.stdout);
     assert_eq!(replies.len(), 4);
-    let attempts = |reply: usize| replies[reply].iter().filter(|code| **code == START_ATTEMPT).count();
-    assert_eq!((attempts(0), attempts(1), attempts(2), replies[3].len()), (0, 2, 1, 0));
+    let attempts = |reply: usize| {
+        replies[reply]
+            .iter()
+            .filter(|code| **code == START_ATTEMPT)
+            .count()
+    };
+    assert_eq!(
+        (attempts(0), attempts(1), attempts(2), replies[3].len()),
+        (0, 2, 1, 0)
+    );
 }
 
 #[test]
 fn a_megabyte_batch_is_answered_whole() {
-    let start = Batch::new().start(1, SETTINGS.as_bytes()).list(1, 40).frame(1);
-    let many = (0..25_000).fold(Batch::new(), |batch, id| batch.request(1, id)).frame(2);
+    let start = Batch::new()
+        .start(1, SETTINGS.as_bytes())
+        .list(1, 40)
+        .frame(1);
+    let many = (0..25_000)
+        .fold(Batch::new(), |batch, id| batch.request(1, id))
+        .frame(2);
     assert!(many.len() > 1_000_000);
     let output = run(&[start, many].concat());
     assert!(output.status.success());
     let replies = replies(&output.stdout);
     // Each request is sent, shed or queued for a while.
-    let decided = replies[1].iter().filter(|code| [START_ATTEMPT, SHED, SET_TIMER].contains(code)).count();
+    let decided = replies[1]
+        .iter()
+        .filter(|code| [START_ATTEMPT, SHED, SET_TIMER].contains(code))
+        .count();
     assert!(decided >= 25_000);
 }
 
 #[test]
 fn bad_input_ends_with_one_line_of_error_and_no_partial_reply() {
-    let good = Batch::new().start(1, SETTINGS.as_bytes()).list(1, 2).frame(1);
+    let good = Batch::new()
+        .start(1, SETTINGS.as_bytes())
+        .list(1, 2)
+        .frame(1);
     let cases = [
         (good[..30].to_vec(), "batch 1: 10 of"),
-        (Batch::new().record(77, 1, &[]).frame(9), "batch 9: record 0: unknown event code 77"),
-        (Batch::new().start(1, b"{\"Classes\": 5}").frame(3), "batch 3: record 0: bad settings:"),
-        (Batch::new().start(1, b"{\"Classes\": []}").frame(3), "batch 3: record 0: bad settings: no classes"),
-        (Batch::new().start(1, b"\xff\xfe").frame(3), "batch 3: record 0: bad settings:"),
-        ([&good[..], &[0, 0, 0]].concat(), "batch header: 3 of 20 bytes"),
+        (
+            Batch::new().record(77, 1, &[]).frame(9),
+            "batch 9: record 0: unknown event code 77",
+        ),
+        (
+            Batch::new().start(1, b"{\"Classes\": 5}").frame(3),
+            "batch 3: record 0: bad settings:",
+        ),
+        (
+            Batch::new().start(1, b"{\"Classes\": []}").frame(3),
+            "batch 3: record 0: bad settings: no classes",
+        ),
+        (
+            Batch::new().start(1, b"\xff\xfe").frame(3),
+            "batch 3: record 0: bad settings:",
+        ),
+        (
+            [&good[..], &[0, 0, 0]].concat(),
+            "batch header: 3 of 20 bytes",
+        ),
     ];
     for (input, expected) in cases {
         let output = run(&input);
         let error = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success(), "{expected}");
-        assert!(error.starts_with(&format!("ottertiller-simulator-adapter: {expected}")), "{error}");
+        assert!(
+            error.starts_with(&format!("ottertiller-simulator-adapter: {expected}")),
+            "{error}"
+        );
         assert_eq!(error.lines().count(), 1, "{error}");
         replies(&output.stdout);
     }
