--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -6,10 +6,10 @@
 //! admitted, the higher priorities first.
 
 use crate::Settings;
-use crate::arithmetic::{SMOOTHING, smooth};
-use crate::endpoint_set::Endpoint;
-use crate::health::load_report::{FreshLoads, is_idle};
+use crate::endpoints::Endpoint;
+use crate::estimates::load_snapshot::{FreshLoads, is_idle};
 use crate::health::observation::Timeliness;
+use crate::numeric::{SMOOTHING, smooth};
 use std::time::Duration;
 
 /// Loads from this many requests on are treated alike.
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -6,24 +6,22 @@
 mod life_cycle;
 
 use crate::admission::Admission;
-use crate::arithmetic::Random;
 use crate::endpoint_polling::EndpointPolling;
-use crate::endpoint_set::EndpointSet;
+use crate::endpoints::{Endpoint, EndpointSet, HealthSignal, ReportedLoad, reported_load};
+use crate::estimates::load_snapshot::FreshLoads;
 use crate::estimates::{DeclaredWork, ResponseTimes};
 use crate::health::active_check::ActiveChecks;
-use crate::health::endpoint_health::HealthSignal;
-use crate::health::held_requests::HeldRequests;
-use crate::health::load_report::FreshLoads;
 use crate::health::observation::Observation;
-use crate::health::outlier::OutlierDetector;
-use crate::health::reported_load::{ReportedLoad, reported_load};
-use crate::pending_request::{Attempt, PendingRequest};
+use crate::health::outlier_ejection::OutlierDetector;
+use crate::numeric::Random;
 use crate::priority::Priorities;
+use crate::requests::{Attempt, HeldRequests, PendingRequest};
 use crate::retry::budget::RetryBudget;
 use crate::retry::client_retry::ClientRetries;
 use crate::retry::hedging::Hedging;
 use crate::routing::join_up_to::JoinUpTo;
 use crate::routing::slow_start::SlowStart;
+use crate::routing::start_time::StartTimes;
 use crate::routing::subset::Subset;
 use crate::{
     Action, AttemptEnd, EndpointEntry, EndpointId, Event, HealthCheckEnd, ListKind, LoadReport,
@@ -48,6 +46,7 @@
     join_up_to: JoinUpTo,
     subset: Subset,
     slow_start: SlowStart,
+    start_times: StartTimes,
     outliers: OutlierDetector,
     active_checks: ActiveChecks,
     held: HeldRequests,
@@ -83,6 +82,7 @@
             join_up_to: JoinUpTo::new(&settings),
             subset: Subset::new(&settings),
             slow_start: SlowStart::new(&settings),
+            start_times: StartTimes::new(&settings.rules),
             outliers: OutlierDetector::new(&settings),
             active_checks: ActiveChecks::new(&settings),
             held: HeldRequests::default(),
@@ -167,8 +167,13 @@
             ListKind::Cached => {}
             ListKind::Delta | ListKind::Snapshot => self.polling.on_list(),
         }
-        let new_count = self.endpoints.mean_send_count(self.subset_size());
-        self.endpoints.apply(kind, entries, new_count, self.now);
+        let send_count = self.endpoints.mean_send_count(self.subset_size());
+        let had_endpoints = self.endpoints.has_listed_endpoints();
+        let (start_times, now) = (&self.start_times, self.now);
+        self.endpoints.apply(kind, entries, |entry| {
+            let started = start_times.resolve(entry, had_endpoints, now);
+            Endpoint::newly_listed(*entry, started, send_count, now)
+        });
     }
 
     // What is recorded of requests and endpoints.
--- a/crates/balancer/src/balancer/dispatch.rs
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -7,10 +7,10 @@
 
 use super::Balancer;
 use crate::admission::load_level;
-use crate::endpoint_set::Endpoint;
-use crate::health::load_report::FreshLoads;
-use crate::health::outlier;
-use crate::pending_request::{Attempt, PendingRequest};
+use crate::endpoints::Endpoint;
+use crate::estimates::load_snapshot::FreshLoads;
+use crate::health::outlier_ejection;
+use crate::requests::{Attempt, PendingRequest};
 use crate::retry::hedging::AttemptPlan;
 use crate::retry::idempotency;
 use crate::routing::join_up_to;
@@ -103,8 +103,9 @@
     ) -> Route {
         let loads = self.fresh_loads();
         let is_retry = request.was_attempted();
-        let may_be_trial = !is_retry && outlier::allows_trial(request.idempotency, draws.admission);
-        let healthy = outlier::candidates(permitted, may_be_trial, self.now);
+        let may_be_trial =
+            !is_retry && outlier_ejection::allows_trial(request.idempotency, draws.admission);
+        let healthy = outlier_ejection::candidates(permitted, may_be_trial, self.now);
         let admits = |e: &&Endpoint| {
             self.admission
                 .admits(e, &loads, request.priority, draws.admission)
--- a/crates/balancer/src/balancer/life_cycle.rs
+++ b/crates/balancer/src/balancer/life_cycle.rs
@@ -3,7 +3,7 @@
 
 use super::Balancer;
 use crate::admission;
-use crate::pending_request::PendingRequest;
+use crate::requests::PendingRequest;
 use crate::retry::idempotency;
 use crate::{Action, AttemptEnd, NewRequest, RequestId};
 use std::time::Duration;
--- a/crates/balancer/src/endpoint_polling.rs
+++ b/crates/balancer/src/endpoint_polling.rs
@@ -2,7 +2,7 @@
 //! ask`).
 
 use crate::Settings;
-use crate::arithmetic::Random;
+use crate::numeric::Random;
 use std::time::Duration;
 
 /// The first wait after a failed call, and the least time between a call and the one after the
--- a/crates/balancer/src/endpoint_set.rs
+++ b/crates/balancer/src/endpoints/endpoint_set.rs
@@ -1,43 +1,16 @@
 //! The listed endpoints and what each concern keeps about them. Nothing here decides anything.
 
-use crate::health::endpoint_health::Health;
-use crate::health::reported_load::ReportedLoad;
-use crate::routing::permit::Permit;
-use crate::routing::ring::Ring;
-use crate::routing::send_count::SendCount;
-use crate::routing::start_time::StartTimes;
+use super::endpoint::Endpoint;
+use super::ring::Ring;
 use crate::{EndpointEntry, EndpointId, EndpointState, ListKind, Settings};
 use std::collections::BTreeMap;
-use std::time::Duration;
-
-/// A listed endpoint.
-#[derive(Default)]
-pub struct Endpoint {
-    /// Its entry in the endpoint list.
-    pub entry: EndpointEntry,
-    /// When it started, on this node's own clock; `None` if long ago.
-    pub started: Option<Duration>,
-    /// This node's attempts in flight.
-    pub in_flight: u32,
-    /// Whether a health check is in flight.
-    pub check_in_flight: bool,
-    /// Its count for Join-Up-To(m).
-    pub sends: SendCount,
-    /// The load that it reported last.
-    pub reported_load: Option<ReportedLoad>,
-    /// Its failures and ejections.
-    pub health: Health,
-    /// Its permit for a request while it starts.
-    pub permit: Permit,
-}
 
 /// The listed endpoints, and the ring of those that are ready.
 pub struct EndpointSet {
     by_id: BTreeMap<EndpointId, Endpoint>,
     ready: Ring,
-    start_times: StartTimes,
     /// Whether any list has had endpoints: what appears after that was absent before.
-    has_listed: bool,
+    has_listed_endpoints: bool,
 }
 
 impl EndpointSet {
@@ -46,8 +19,7 @@
         EndpointSet {
             by_id: BTreeMap::new(),
             ready: Ring::new(settings),
-            start_times: StartTimes::new(&settings.rules),
-            has_listed: false,
+            has_listed_endpoints: false,
         }
     }
 
@@ -87,18 +59,21 @@
         sends / endpoints.max(1) as u32
     }
 
-    /// Takes in entries of the list. Endpoints that are new or have restarted get the send count
-    /// `new_count`.
+    /// Whether any list so far has had endpoints: what appears after that was not listed before.
+    pub fn has_listed_endpoints(&self) -> bool {
+        self.has_listed_endpoints
+    }
+
+    /// Applies entries of the list. `new_endpoint` returns the state of an endpoint that is new or
+    /// has restarted.
     pub fn apply(
         &mut self,
         kind: ListKind,
         entries: Vec<EndpointEntry>,
-        new_count: u32,
-        now: Duration,
+        new_endpoint: impl Fn(&EndpointEntry) -> Endpoint,
     ) {
         let is_whole_list = kind != ListKind::Delta;
-        let was_absent = self.has_listed;
-        self.has_listed |= !entries.is_empty();
+        self.has_listed_endpoints |= !entries.is_empty();
         if is_whole_list {
             self.by_id
                 .values_mut()
@@ -106,7 +81,7 @@
             self.ready.clear();
         }
         for entry in entries {
-            self.apply_entry(entry, new_count, was_absent, now);
+            self.apply_entry(entry, &new_endpoint);
             match entry.state {
                 EndpointState::Ready => self.ready.insert(entry.id),
                 EndpointState::Draining | EndpointState::Removed => self.ready.remove(entry.id),
@@ -121,9 +96,7 @@
     fn apply_entry(
         &mut self,
         entry: EndpointEntry,
-        new_count: u32,
-        was_absent: bool,
-        now: Duration,
+        new_endpoint: impl Fn(&EndpointEntry) -> Endpoint,
     ) {
         let known = self.by_id.remove(&entry.id).unwrap_or_default();
         if entry.state == EndpointState::Removed {
@@ -134,12 +107,8 @@
             Endpoint { entry, ..known }
         } else {
             Endpoint {
-                entry,
-                started: self.start_times.of(&entry, was_absent, now),
                 in_flight: known.in_flight,
-                sends: SendCount::starting_at(new_count),
-                permit: Permit::none(now),
-                ..Endpoint::default()
+                ..new_endpoint(&entry)
             }
         };
         self.by_id.insert(entry.id, endpoint);
--- a/crates/balancer/src/health/endpoint_health.rs
+++ b/crates/balancer/src/endpoints/health.rs
@@ -1,7 +1,7 @@
 //! The health of an endpoint, as its signals tell. What follows from it is decided in
-//! `health/outlier.rs`.
+//! `health/outlier_ejection.rs`.
 
-use crate::arithmetic::{SMOOTHING, smooth};
+use crate::numeric::{SMOOTHING, smooth};
 use std::time::Duration;
 
 /// What an attempt or a health check says of an endpoint.
--- a/crates/balancer/src/health/reported_load.rs
+++ b/crates/balancer/src/endpoints/reported_load.rs
@@ -1,4 +1,4 @@
-//! The last load that an endpoint reported. `health/load_report.rs` says how long it counts.
+//! The last load that an endpoint reported. `estimates/load_snapshot.rs` says how long it counts.
 
 use crate::LoadReport;
 use std::time::Duration;
--- a/crates/balancer/src/health/load_report.rs
+++ b/crates/balancer/src/estimates/load_snapshot.rs
@@ -1,8 +1,8 @@
 //! How loaded an endpoint is: its own report while that is recent, else the node's attempts in
 //! flight there.
 
-use crate::arithmetic::SMOOTHING;
-use crate::endpoint_set::Endpoint;
+use crate::endpoints::Endpoint;
+use crate::numeric::SMOOTHING;
 use std::time::Duration;
 
 /// A queue turns over within about one response time; a report that is older than this part of it
--- a/crates/balancer/src/health/active_check.rs
+++ b/crates/balancer/src/health/active_check.rs
@@ -2,9 +2,9 @@
 //! `Permissions.Probes`): which requests are worth them, and which are held until they are
 //! answered.
 
-use crate::arithmetic::{Random, SMOOTHING};
-use crate::endpoint_set::EndpointSet;
-use crate::pending_request::PendingRequest;
+use crate::endpoints::EndpointSet;
+use crate::numeric::{Random, SMOOTHING};
+use crate::requests::PendingRequest;
 use crate::{Action, EndpointId, Settings};
 use std::time::Duration;
 
--- a/crates/balancer/src/health/observation.rs
+++ b/crates/balancer/src/health/observation.rs
@@ -1,8 +1,8 @@
 //! What the end of an attempt says of the endpoint: whether it is healthy, and whether it answers
 //! in time.
 
-use crate::health::endpoint_health::HealthSignal;
-use crate::pending_request::{Attempt, PendingRequest};
+use crate::endpoints::HealthSignal;
+use crate::requests::{Attempt, PendingRequest};
 use crate::{AttemptEnd, Outcome, RequestClass};
 use std::time::Duration;
 
--- a/crates/balancer/src/health/outlier.rs
+++ b/crates/balancer/src/health/outlier_ejection.rs
@@ -1,9 +1,8 @@
 //! Outlier ejection: an endpoint that fails far more often than the others gets no requests for a
 //! while, then one in so many on trial until it serves again.
 
-use crate::arithmetic::{SMOOTHING, smooth};
-use crate::endpoint_set::{Endpoint, EndpointSet};
-use crate::health::endpoint_health::{Health, HealthSignal};
+use crate::endpoints::{Endpoint, EndpointSet, Health, HealthSignal};
+use crate::numeric::{SMOOTHING, smooth};
 use crate::{EndpointId, Idempotency, Settings};
 use std::time::Duration;
 
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -8,17 +8,17 @@
 
 mod action;
 mod admission;
-mod arithmetic;
 mod balancer;
 mod endpoint;
 mod endpoint_polling;
-mod endpoint_set;
+mod endpoints;
 mod estimates;
 mod event;
 mod health;
-mod pending_request;
+mod numeric;
 mod priority;
 mod request;
+mod requests;
 mod retry;
 mod routing;
 pub mod settings;
--- /dev/null
+++ b/crates/balancer/src/numeric/mod.rs
@@ -0,0 +1,11 @@
+//! Numeric building blocks of estimates and decisions: moving averages, rates, token buckets and random numbers.
+
+mod decaying_rate;
+mod moving_average;
+mod random;
+mod token_bucket;
+
+pub use decaying_rate::DecayingRate;
+pub use moving_average::{SMOOTHING, smooth};
+pub use random::Random;
+pub use token_bucket::TokenBucket;
--- a/crates/balancer/src/priority.rs
+++ b/crates/balancer/src/priority.rs
@@ -1,7 +1,7 @@
 //! How much a request counts when some must be shed: its class's priority weight, less where its
 //! tenant is over its quota (settings keys `Credit`, `Projects`, `OverShareWorth`).
 
-use crate::arithmetic::{SMOOTHING, TokenBucket, smooth};
+use crate::numeric::{SMOOTHING, TokenBucket, smooth};
 use crate::{Settings, Tenant};
 use std::time::Duration;
 
--- a/crates/balancer/src/retry/hedging.rs
+++ b/crates/balancer/src/retry/hedging.rs
@@ -3,7 +3,7 @@
 //! `ParallelTries`), the first is given up for the next instead.
 
 use crate::Settings;
-use crate::pending_request::PendingRequest;
+use crate::requests::PendingRequest;
 use std::time::Duration;
 
 /// An attempt is silent after this multiple of the median response time: for exponential response
--- a/crates/balancer/src/retry/idempotency.rs
+++ b/crates/balancer/src/retry/idempotency.rs
@@ -2,7 +2,7 @@
 //! `Idempotency`, `Group` and `Window`). Endpoints drop repeats of an idempotency key within a
 //! scope and a time window.
 
-use crate::pending_request::{Attempt, PendingRequest};
+use crate::requests::{Attempt, PendingRequest};
 use crate::{EndpointEntry, Idempotency, Scope};
 use std::time::Duration;
 
--- a/crates/balancer/src/routing/join_up_to.rs
+++ b/crates/balancer/src/routing/join_up_to.rs
@@ -5,9 +5,9 @@
 //! the lowest count below m, ties broken at random, and to any endpoint at random once all have
 //! reached m.
 
-use crate::arithmetic::{SMOOTHING, smooth};
-use crate::endpoint_set::Endpoint;
-use crate::health::load_report::{FreshLoads, is_idle};
+use crate::endpoints::Endpoint;
+use crate::estimates::load_snapshot::{FreshLoads, is_idle};
+use crate::numeric::{SMOOTHING, smooth};
 use crate::{EndpointId, Settings};
 use std::time::Duration;
 
--- a/crates/balancer/src/routing/mod.rs
+++ b/crates/balancer/src/routing/mod.rs
@@ -2,9 +2,6 @@
 //! that start.
 
 pub mod join_up_to;
-pub mod permit;
-pub mod ring;
-pub mod send_count;
 pub mod slow_start;
 pub mod start_time;
 pub mod starting_capacity;
--- a/crates/balancer/src/routing/slow_start.rs
+++ b/crates/balancer/src/routing/slow_start.rs
@@ -6,10 +6,9 @@
 //! of the rate at which a warm endpoint serves it. Permits come at random and expire soon: what
 //! hundreds of quiet nodes could save up would otherwise be spent in one burst.
 
-use crate::arithmetic::Random;
-use crate::endpoint_set::{Endpoint, EndpointSet};
+use crate::endpoints::{Endpoint, EndpointSet, Permit};
 use crate::estimates::EndpointShare;
-use crate::routing::permit::Permit;
+use crate::numeric::Random;
 use crate::routing::starting_capacity::StartingCapacity;
 use crate::settings::Rules;
 use crate::{EndpointId, Settings};
--- a/crates/balancer/src/routing/start_time.rs
+++ b/crates/balancer/src/routing/start_time.rs
@@ -38,7 +38,12 @@
     /// before; `None` if long ago. `was_absent` says that a list before did not have it with this
     /// start: then it is new, and a start long before `now` cannot be true. Where there was no such
     /// list, the wall clock is all there is.
-    pub fn of(&self, entry: &EndpointEntry, was_absent: bool, now: Duration) -> Option<Duration> {
+    pub fn resolve(
+        &self,
+        entry: &EndpointEntry,
+        was_absent: bool,
+        now: Duration,
+    ) -> Option<Duration> {
         let listed = entry.started?;
         let is_false = listed > now || was_absent && listed + self.max_delay < now;
         Some(if is_false { now } else { listed })
--- a/crates/balancer/src/routing/starting_capacity.rs
+++ b/crates/balancer/src/routing/starting_capacity.rs
@@ -1,7 +1,7 @@
 //! The capacity of an endpoint after its start, as far as rule 4 makes it certain (settings keys
 //! `ColdFrom` and `RampTime`): it grows evenly from the initial share to the whole.
 
-use crate::endpoint_set::Endpoint;
+use crate::endpoints::Endpoint;
 use crate::settings::Rules;
 use std::time::Duration;
 
--- a/crates/balancer/src/routing/subset.rs
+++ b/crates/balancer/src/routing/subset.rs
@@ -1,8 +1,8 @@
 //! How many endpoints a node uses: the next so many on the ring from its own place
-//! (`routing/ring.rs`).
+//! (`endpoints/ring.rs`).
 
 use crate::Settings;
-use crate::arithmetic::DecayingRate;
+use crate::numeric::DecayingRate;
 use std::time::Duration;
 
 /// The share of the service that connections may cost: little beside what uninformed sends cost.
