--- a/crates/balancer/src/action.rs
+++ b/crates/balancer/src/action.rs
@@ -2,6 +2,7 @@
 
 use crate::endpoint::EndpointId;
 use crate::request::RequestId;
+use crate::timer::Timer;
 use std::time::Duration;
 
 /// Something the host is to do. Actions are carried out in the order given.
@@ -35,12 +36,12 @@
         /// The number of the attempt.
         attempt: u32,
     },
-    /// Set a timer: an [`Event::Timer`](crate::Event::Timer) is due when it expires.
+    /// Set a timer: an [`Event::Timer`](crate::Event::Timer) arrives when it expires.
     SetTimer {
         /// When, from now.
         after: Duration,
-        /// What it will carry.
-        token: u64,
+        /// What it is for.
+        timer: Timer,
     },
     /// Send a health check to an endpoint.
     HealthCheck {
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -25,14 +25,11 @@
 use crate::routing::subset::Subset;
 use crate::{
     Action, AttemptEnd, EndpointEntry, EndpointId, Event, HealthCheckEnd, ListKind, LoadReport,
-    Outcome, RequestId, Settings,
+    Outcome, RequestId, Settings, Timer,
 };
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The token of the timer that polls the endpoint list; a request's timers carry its id.
-const POLLING_TIMER: u64 = u64::MAX;
-
 /// The decisions of one node.
 pub struct Balancer {
     settings: Settings,
@@ -109,10 +106,8 @@
             Event::StreamStarted { id, .. } => self.on_stream_started(id),
             Event::AttemptEnded(end) => self.on_attempt_ended(end, actions),
             Event::ClientDisconnected { id } => self.close(id, actions),
-            Event::Timer {
-                token: POLLING_TIMER,
-            } => self.poll_endpoints(actions),
-            Event::Timer { token } => self.on_request_timer(RequestId(token), actions),
+            Event::Timer(Timer::EndpointPolling) => self.poll_endpoints(actions),
+            Event::Timer(Timer::Request(id)) => self.on_request_timer(id, actions),
             Event::HealthChecked(end) => self.on_health_checked(end, actions),
             Event::PeerMessage { .. } => {}
         }
@@ -143,7 +138,7 @@
         let after = self.polling.check_interval();
         actions.push(Action::SetTimer {
             after,
-            token: POLLING_TIMER,
+            timer: Timer::EndpointPolling,
         });
     }
 
--- a/crates/balancer/src/balancer/dispatch.rs
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -14,7 +14,7 @@
 use crate::retry::hedging::AttemptPlan;
 use crate::retry::idempotency;
 use crate::routing::join_up_to;
-use crate::{Action, EndpointId, EndpointState, RequestId};
+use crate::{Action, EndpointId, EndpointState, RequestId, Timer};
 use std::time::Duration;
 
 /// The fraction of the mean response time after which a request without a permitted endpoint looks
@@ -171,7 +171,7 @@
         let wait = Duration::from_secs_f64(self.response_times.mean * WAIT_IN_RESPONSES);
         actions.push(Action::SetTimer {
             after: wait.max(self.settings.tick),
-            token: id.0,
+            timer: Timer::Request(id),
         });
     }
 
@@ -188,7 +188,10 @@
         {
             self.held.hold(id);
             let after = self.active_checks.max_hold(self.response_times.mean);
-            actions.push(Action::SetTimer { after, token: id.0 });
+            actions.push(Action::SetTimer {
+                after,
+                timer: Timer::Request(id),
+            });
             return;
         }
         match otherwise {
@@ -211,7 +214,10 @@
         let is_retry = request.was_attempted();
         let plan = self.plan_attempt(request);
         if let Some(after) = plan.hedge_after {
-            actions.push(Action::SetTimer { after, token: id.0 });
+            actions.push(Action::SetTimer {
+                after,
+                timer: Timer::Request(id),
+            });
         }
         let attempt = Attempt {
             endpoint: endpoint.entry,
--- a/crates/balancer/src/balancer/life_cycle.rs
+++ b/crates/balancer/src/balancer/life_cycle.rs
@@ -5,7 +5,7 @@
 use crate::admission;
 use crate::requests::PendingRequest;
 use crate::retry::idempotency;
-use crate::{Action, AttemptEnd, NewRequest, RequestId};
+use crate::{Action, AttemptEnd, NewRequest, RequestId, Timer};
 use std::time::Duration;
 
 impl Balancer {
@@ -33,7 +33,7 @@
         }
         actions.push(Action::SetTimer {
             after: time_left,
-            token: new.id.0,
+            timer: Timer::Request(new.id),
         });
         self.dispatch(new.id, actions);
     }
--- a/crates/balancer/src/estimates/mod.rs
+++ b/crates/balancer/src/estimates/mod.rs
@@ -1,5 +1,5 @@
-//! What a node has observed of response times, of the work of requests and of the load on endpoints. Estimates decide
-//! nothing.
+//! What a node has observed of response times, of the work of requests and of the load on
+//! endpoints. Estimates decide nothing.
 
 mod declared_work;
 mod endpoint_share;
--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -2,6 +2,7 @@
 
 use crate::endpoint::{EndpointEntry, EndpointId, ListKind, LoadReport};
 use crate::request::{AttemptEnd, NewRequest, Outcome, RequestId};
+use crate::timer::Timer;
 use std::time::Duration;
 
 /// Something that has happened at this node.
@@ -32,11 +33,8 @@
         /// The request.
         id: RequestId,
     },
-    /// A timer set by this node is due.
-    Timer {
-        /// The token it was set with.
-        token: u64,
-    },
+    /// A timer set by this node has expired.
+    Timer(Timer),
     /// A health check has ended.
     HealthChecked(HealthCheckEnd),
     /// A message from another node.
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -22,6 +22,7 @@
 mod retry;
 mod routing;
 pub mod settings;
+mod timer;
 
 pub use action::Action;
 pub use balancer::{Balancer, TableSizes};
@@ -32,6 +33,7 @@
     Goal, Idempotency, Limits, LoadReportSource, Prices, RequestClass, Rules, Scope, Settings,
     SettingsError, Tenant,
 };
+pub use timer::Timer;
 
 /// The README's example, compiled as a test.
 #[cfg(doctest)]
--- a/crates/balancer/src/numeric/mod.rs
+++ b/crates/balancer/src/numeric/mod.rs
@@ -1,4 +1,5 @@
-//! Numeric building blocks of estimates and decisions: moving averages, rates, token buckets and random numbers.
+//! Numeric building blocks of estimates and decisions: moving averages, rates, token buckets and
+//! random numbers.
 
 mod decaying_rate;
 mod moving_average;
--- a/crates/balancer/tests/decisions/late_events.rs
+++ b/crates/balancer/tests/decisions/late_events.rs
@@ -13,7 +13,7 @@
     assert!(node.deliver(Event::ClientDisconnected { id }).is_empty());
     node.advance(ms(1));
     assert!(node.in_flight().is_empty());
-    assert!(node.deliver(Event::Timer { token: id.0 }).is_empty());
+    assert!(node.deliver(Event::Timer(Timer::Request(id))).is_empty());
     let endpoint = EndpointId(77);
     let end = HealthCheckEnd {
         endpoint,
--- a/crates/balancer/tests/simulation/fleet/action_digest.rs
+++ b/crates/balancer/tests/simulation/fleet/action_digest.rs
@@ -1,6 +1,6 @@
 //! A digest of all actions of a fleet, with their nodes and their times in microseconds.
 
-use ottertiller_balancer::Action;
+use ottertiller_balancer::{Action, Timer};
 use sha2::{Digest, Sha256};
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
             }
             Action::Fail { id } => [3, id.0, 0, 0],
             Action::CancelAttempt { id, attempt } => [4, id.0, u64::from(*attempt), 0],
-            Action::SetTimer { after, token } => [5, micros(after), *token, 0],
+            Action::SetTimer { after, timer } => [5, micros(after), timer_number(*timer), 0],
             Action::HealthCheck { endpoint } => [6, endpoint.0, 0, 0],
             Action::Subscribe { enabled } => [7, u64::from(*enabled), 0, 0],
             other => panic!("unexpected {other:?}"),
@@ -44,6 +44,14 @@
     }
 }
 
+/// The number of a timer on the simulator's wire.
+fn timer_number(timer: Timer) -> u64 {
+    match timer {
+        Timer::Request(id) => id.0,
+        Timer::EndpointPolling => u64::MAX,
+    }
+}
+
 fn micros(time: &Duration) -> u64 {
     time.as_micros() as u64
 }
--- a/crates/balancer/tests/simulation/fleet/mod.rs
+++ b/crates/balancer/tests/simulation/fleet/mod.rs
@@ -199,7 +199,7 @@
             }
             Due::Restart => self.restart(node),
             _ if run != self.nodes[node].run => {}
-            Due::Timer { token } => self.deliver(node, Event::Timer { token }),
+            Due::Timer(timer) => self.deliver(node, Event::Timer(timer)),
             Due::AttemptEnd {
                 id,
                 attempt,
@@ -300,9 +300,9 @@
             } => {
                 self.start_attempt(node, id, endpoint, timeout);
             }
-            Action::SetTimer { after, token } => {
+            Action::SetTimer { after, timer } => {
                 let at = self.now + after.max(Duration::from_nanos(1));
-                self.schedule(at, node, Due::Timer { token });
+                self.schedule(at, node, Due::Timer(timer));
             }
             Action::CancelAttempt { id, attempt } => {
                 let (attempt, outcome, started) = (attempt as usize, Outcome::Cancelled, self.now);
--- a/crates/balancer/tests/simulation/fleet/schedule.rs
+++ b/crates/balancer/tests/simulation/fleet/schedule.rs
@@ -1,7 +1,7 @@
 //! What is due and when, in the order of time; what is due at one moment, in the order in which it
 //! was added.
 
-use ottertiller_balancer::{EndpointId, Outcome, RequestId};
+use ottertiller_balancer::{EndpointId, Outcome, RequestId, Timer};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
@@ -9,9 +9,7 @@
 /// Something that happens to a node.
 pub enum Due {
     Arrival,
-    Timer {
-        token: u64,
-    },
+    Timer(Timer),
     AttemptEnd {
         id: RequestId,
         attempt: usize,
--- a/crates/balancer/tests/simulation/node/mod.rs
+++ b/crates/balancer/tests/simulation/node/mod.rs
@@ -45,7 +45,7 @@
     /// All actions so far.
     pub actions: Vec<Action>,
     requests: BTreeMap<RequestId, RequestState>,
-    timers: BTreeMap<(Duration, usize), u64>,
+    timers: BTreeMap<(Duration, usize), Timer>,
     timers_set: usize,
     listed: BTreeMap<EndpointId, ListedEndpoint>,
     health_checks: Vec<PendingHealthCheck>,
@@ -241,8 +241,8 @@
             .first_key_value()
             .filter(|((at, _), _)| *at <= self.now)
         {
-            let token = self.timers.remove(&due).expect("a timer");
-            self.deliver(Event::Timer { token });
+            let timer = self.timers.remove(&due).expect("a timer");
+            self.deliver(Event::Timer(timer));
         }
     }
 
@@ -313,11 +313,11 @@
                 // Its outcome comes with the next tick.
                 request.attempts[*attempt as usize].times_out = self.now;
             }
-            Action::SetTimer { after, token } => {
+            Action::SetTimer { after, timer } => {
                 // Never in the round that is being answered.
                 let due = (self.now + *after).max(self.now + Duration::from_nanos(1));
                 self.timers_set += 1;
-                self.timers.insert((due, self.timers_set), *token);
+                self.timers.insert((due, self.timers_set), *timer);
             }
             Action::HealthCheck { endpoint } => {
                 assert!(
--- a/crates/node/src/dispatcher.rs
+++ b/crates/node/src/dispatcher.rs
@@ -82,7 +82,7 @@
         let now = self.clock.now();
         while let Some(timer) = self.requests.pop_due(now) {
             match timer {
-                Timer::Balancer(token) => self.on_event(Event::Timer { token }),
+                Timer::Balancer(timer) => self.on_event(Event::Timer(timer)),
                 Timer::AttemptTimeout(id, number) => {
                     self.requests.stop_attempt(id, number, StopReason::TimedOut);
                 }
@@ -234,9 +234,9 @@
                 self.requests
                     .stop_attempt(id, attempt, StopReason::Cancelled);
             }
-            Action::SetTimer { after, token } => {
+            Action::SetTimer { after, timer } => {
                 self.requests
-                    .set_timer(self.clock.now() + after, Timer::Balancer(token));
+                    .set_timer(self.clock.now() + after, Timer::Balancer(timer));
             }
             Action::HealthCheck { endpoint } => self.start_health_check(endpoint),
             Action::CloseIdleConnections { endpoint } => {
--- a/crates/node/src/request_table.rs
+++ b/crates/node/src/request_table.rs
@@ -93,8 +93,8 @@
 /// What a timer is for.
 #[derive(Clone, Copy)]
 pub enum Timer {
-    /// The balancer's own, with its token.
-    Balancer(u64),
+    /// The balancer's own.
+    Balancer(ottertiller_balancer::Timer),
     /// The timeout of an attempt, by its request and number.
     AttemptTimeout(RequestId, u32),
     /// The deadline of a request.
@@ -102,12 +102,14 @@
 }
 
 impl Timer {
-    /// The request with which the timer leaves. The balancer's token is a request's id, or no
-    /// request's and then the timer stays until it fires.
-    fn owner(self) -> RequestId {
+    /// The request with which the timer leaves; `None` for one that stays until it fires.
+    fn owner(self) -> Option<RequestId> {
+        use ottertiller_balancer::Timer as BalancerTimer;
         match self {
-            Timer::Balancer(token) => RequestId(token),
-            Timer::AttemptTimeout(id, _) | Timer::Deadline(id) => id,
+            Timer::Balancer(BalancerTimer::EndpointPolling) => None,
+            Timer::Balancer(BalancerTimer::Request(id))
+            | Timer::AttemptTimeout(id, _)
+            | Timer::Deadline(id) => Some(id),
         }
     }
 }
@@ -276,12 +278,16 @@
             due,
             sequence: self.last_timer_sequence,
         };
-        if let Some(request) = self.requests.get_mut(&timer.owner()) {
+        if let Some(request) = self.owner_of(timer) {
             request.timers.push(key);
         }
         self.timers.insert(key, timer);
     }
 
+    fn owner_of(&mut self, timer: Timer) -> Option<&mut InFlightRequest> {
+        self.requests.get_mut(&timer.owner()?)
+    }
+
     /// When the next timer is due.
     pub fn next_due(&self) -> Option<Duration> {
         self.timers.first_key_value().map(|(key, _)| key.due)
@@ -294,7 +300,7 @@
             .first_entry()
             .filter(|entry| entry.key().due <= now)?;
         let (fired, timer) = entry.remove_entry();
-        if let Some(request) = self.requests.get_mut(&timer.owner()) {
+        if let Some(request) = self.owner_of(timer) {
             request.timers.retain(|key| *key != fired);
         }
         Some(timer)
--- a/crates/simulator-adapter/src/wire/codes.rs
+++ b/crates/simulator-adapter/src/wire/codes.rs
@@ -1,7 +1,7 @@
 //! The codes of the protocol.
 
 use crate::error::RecordError;
-use ottertiller_balancer::{EndpointState, ListKind, Outcome};
+use ottertiller_balancer::{EndpointState, ListKind, Outcome, RequestId, Timer};
 
 /// The first byte of an event record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -91,3 +91,22 @@
         _ => Err(RecordError::UnknownEndpointState(code)),
     }
 }
+
+/// The token of the timer that polls the endpoint list; a request's timers carry its id.
+const ENDPOINT_POLLING_TOKEN: u64 = u64::MAX;
+
+/// Decodes the token of a timer.
+pub fn timer(token: u64) -> Timer {
+    match token {
+        ENDPOINT_POLLING_TOKEN => Timer::EndpointPolling,
+        id => Timer::Request(RequestId(id)),
+    }
+}
+
+/// Encodes a timer as the token that comes back when it expires.
+pub fn timer_token(timer: Timer) -> u64 {
+    match timer {
+        Timer::Request(id) => id.0,
+        Timer::EndpointPolling => ENDPOINT_POLLING_TOKEN,
+    }
+}
--- a/crates/simulator-adapter/src/wire/record.rs
+++ b/crates/simulator-adapter/src/wire/record.rs
@@ -1,6 +1,6 @@
 //! Decoding the records of a batch.
 
-use super::codes::{EventCode, endpoint_state, list_kind, outcome};
+use super::codes::{EventCode, endpoint_state, list_kind, outcome, timer};
 use super::fields::FieldReader;
 use super::layout::ENTRY_SIZE;
 use crate::error::RecordError;
@@ -93,9 +93,7 @@
             EventCode::ClientDisconnected => Ok(Input::without_report(Event::ClientDisconnected {
                 id: RequestId(fields.u64()),
             })),
-            EventCode::Timer => Ok(Input::without_report(Event::Timer {
-                token: fields.u64(),
-            })),
+            EventCode::Timer => Ok(Input::without_report(Event::Timer(timer(fields.u64())))),
             EventCode::HealthChecked => health_checked(fields),
             EventCode::PeerMessage => {
                 let from = fields.u32();
--- a/crates/simulator-adapter/src/wire/reply.rs
+++ b/crates/simulator-adapter/src/wire/reply.rs
@@ -1,6 +1,6 @@
 //! Encoding replies.
 
-use super::codes::ActionCode;
+use super::codes::{ActionCode, timer_token};
 use super::layout::{ACTION_SIZE, REPLY_HEADER_SIZE};
 use ottertiller_balancer::{Action, EndpointId};
 use std::time::Duration;
@@ -27,10 +27,10 @@
             Action::Log { text } => self
                 .record(ActionCode::Log, instance)
                 .in_tail(text.as_bytes()),
-            Action::SetTimer { after, token } => self
+            Action::SetTimer { after, timer } => self
                 .record(ActionCode::SetTimer, instance)
                 .millis(*after)
-                .u64(*token),
+                .u64(timer_token(*timer)),
             Action::CancelAttempt { id, attempt } => self
                 .record(ActionCode::CancelAttempt, instance)
                 .u64(id.0)
--- a/crates/simulator-adapter/src/wire/tests.rs
+++ b/crates/simulator-adapter/src/wire/tests.rs
@@ -8,7 +8,7 @@
 use ottertiller_balancer::settings::{Column, millis};
 use ottertiller_balancer::{
     Action, AttemptEnd, EndpointEntry, EndpointId, EndpointState, Event, HealthCheckEnd, ListKind,
-    LoadReport, NewRequest, Outcome, RequestId,
+    LoadReport, NewRequest, Outcome, RequestId, Timer,
 };
 use std::time::Duration;
 
@@ -121,7 +121,7 @@
             },
             Record {
                 instance: 3,
-                input: without_report(Event::Timer { token: 0x4d })
+                input: without_report(Event::Timer(Timer::Request(RequestId(0x4d))))
             },
             Record {
                 instance: 5,
--- a/crates/simulator-adapter/src/wire/tests/replies.rs
+++ b/crates/simulator-adapter/src/wire/tests/replies.rs
@@ -3,7 +3,7 @@
 use super::{hex, ms, padded};
 use crate::wire::Reply;
 use crate::wire::layout::ACTION_SIZE;
-use ottertiller_balancer::{Action, EndpointId, RequestId};
+use ottertiller_balancer::{Action, EndpointId, RequestId, Timer};
 
 #[test]
 fn a_reply_of_two_records_and_a_log_line_is_byte_exact() {
@@ -21,7 +21,7 @@
         3,
         &Action::SetTimer {
             after: ms(500.0),
-            token: 0x4d,
+            timer: Timer::Request(RequestId(0x4d)),
         },
     );
     reply.push(
