--- a/crates/balancer/src/action.rs
+++ b/crates/balancer/src/action.rs
@@ -48,28 +48,9 @@
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Close the idle connections to an endpoint.
-    CloseIdleConnections {
-        /// The endpoint.
-        endpoint: EndpointId,
-    },
     /// Subscribe to changes of the endpoint list, or end the subscription.
     Subscribe {
         /// On or off.
         enabled: bool,
     },
-    /// Fetch the whole endpoint list once.
-    FetchEndpointList,
-    /// Send a message to another node, or to all of them.
-    SendToPeer {
-        /// The receiver's number; `None` for all.
-        to: Option<u32>,
-        /// At most 256 bytes.
-        data: Vec<u8>,
-    },
-    /// A line for the operators' log.
-    Log {
-        /// The line.
-        text: String,
-    },
 }
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -109,7 +109,6 @@
             Event::Timer(Timer::EndpointPolling) => self.poll_endpoints(actions),
             Event::Timer(Timer::Request(id)) => self.on_request_timer(id, actions),
             Event::HealthChecked(end) => self.on_health_checked(end, actions),
-            Event::PeerMessage { .. } => {}
         }
     }
 
--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -37,13 +37,6 @@
     Timer(Timer),
     /// A health check has ended.
     HealthChecked(HealthCheckEnd),
-    /// A message from another node.
-    PeerMessage {
-        /// The sender's number.
-        from: u32,
-        /// Its text.
-        data: Vec<u8>,
-    },
 }
 
 /// How a health check ended.
--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -1,9 +1,9 @@
-//! HTTP calls to discovery: fetching the endpoint list once, and watching it.
+//! HTTP calls to discovery: watching the endpoint list.
 
-use crate::discovery::framing::{ListFramer, ListTooLong, MAX_LIST_BYTES, WatchLine};
+use crate::discovery::framing::{ListFramer, ListTooLong, WatchLine};
 use crate::discovery::list_deadline::ListDeadline;
 use crate::socket::{self, Socket};
-use bytes::{Bytes, BytesMut};
+use bytes::Bytes;
 use http_body_util::Empty;
 use hyper::body::Incoming;
 use hyper::client::conn::http1;
@@ -58,21 +58,6 @@
         self.address = address;
     }
 
-    /// The complete list, as text.
-    pub async fn fetch_list(&self) -> Result<Bytes, ClientError> {
-        let mut deadline = ListDeadline::start();
-        let call = deadline.limit_call(self.exchange(LIST_PATH)).await?;
-        let mut body = call.response.into_body();
-        let mut list = BytesMut::new();
-        while let Some(part) = deadline.next_part(&mut body).await? {
-            list.extend_from_slice(&part);
-            if list.len() > MAX_LIST_BYTES {
-                return Err(ListTooLong.into());
-            }
-        }
-        Ok(list.freeze())
-    }
-
     /// Watches the list from the version that the node has.
     pub async fn watch(&self, version: u64) -> Result<Watch, ClientError> {
         let deadline = ListDeadline::start();
--- a/crates/node/src/discovery/client/tests.rs
+++ b/crates/node/src/discovery/client/tests.rs
@@ -45,7 +45,7 @@
 }
 
 /// How a call and its list end that is answered with these pieces, and how long that takes.
-fn call(watched: bool, pieces: Vec<Vec<u8>>) -> (Result<Bytes, ClientError>, Duration) {
+fn call(pieces: Vec<Vec<u8>>) -> (Result<Bytes, ClientError>, Duration) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
@@ -58,13 +58,9 @@
         );
         let server = spawn_local(serve_slowly(listener, pieces));
         let started = Instant::now();
-        let result = if watched {
-            match client.watch(0).await {
-                Ok(mut watch) => watch.next_list().await,
-                Err(error) => Err(error),
-            }
-        } else {
-            client.fetch_list().await
+        let result = match client.watch(0).await {
+            Ok(mut watch) => watch.next_list().await,
+            Err(error) => Err(error),
         };
         server.abort();
         (result, started.elapsed())
@@ -79,42 +75,38 @@
 fn a_large_list_that_arrives_slowly_is_taken_in() {
     let list = large_list();
     let pieces_count = (SLOW_LIST_TIME.as_millis() / STEP.as_millis()) as usize;
-    for watched in [true, false] {
-        let mut pieces = vec![head(list.len())];
-        pieces.extend(
-            list.as_bytes()
-                .chunks(list.len().div_ceil(pieces_count))
-                .map(<[u8]>::to_vec),
-        );
-        let (result, elapsed) = call(watched, pieces);
-        assert_eq!(result.expect("a list").len(), list.len());
-        assert!(elapsed < LIST_DEADLINE, "{elapsed:?}");
-    }
+    let mut pieces = vec![head(list.len())];
+    pieces.extend(
+        list.as_bytes()
+            .chunks(list.len().div_ceil(pieces_count))
+            .map(<[u8]>::to_vec),
+    );
+    let (result, elapsed) = call(pieces);
+    assert_eq!(result.expect("a list").len(), list.len());
+    assert!(elapsed < LIST_DEADLINE, "{elapsed:?}");
 }
 
 /// By the deadline, the next call has to have brought the list.
 #[test]
 fn a_call_whose_list_hardly_arrives_is_given_up_in_time_for_the_next() {
     const MAX_TIME: Duration = Duration::from_millis(4200);
-    for watched in [true, false] {
-        for steps_before_head in [0, 20, 38] {
-            let mut pieces = vec![Vec::new(); steps_before_head];
-            pieces.push(head(1 << 20));
-            pieces.extend((0..1000).map(|_| b"{".to_vec()));
-            let (result, elapsed) = call(watched, pieces);
-            assert!(matches!(result, Err(ClientError::Silent)), "{result:?}");
-            assert!(
-                elapsed <= MAX_TIME,
-                "{elapsed:?}, head after {steps_before_head} steps"
-            );
-        }
-        // An indented list that gets another line each second, and never its end.
-        let mut pieces = vec![head(1 << 20), b"{\n".to_vec()];
-        pieces.extend((0..1000).map(|n| format!("  \"key{n}\": 0,\n").into_bytes()));
-        let (result, elapsed) = call(watched, pieces);
+    for steps_before_head in [0, 20, 38] {
+        let mut pieces = vec![Vec::new(); steps_before_head];
+        pieces.push(head(1 << 20));
+        pieces.extend((0..1000).map(|_| b"{".to_vec()));
+        let (result, elapsed) = call(pieces);
         assert!(matches!(result, Err(ClientError::Silent)), "{result:?}");
-        assert!(elapsed <= MAX_TIME, "{elapsed:?}");
+        assert!(
+            elapsed <= MAX_TIME,
+            "{elapsed:?}, head after {steps_before_head} steps"
+        );
     }
+    // An indented list that gets another line each second, and never its end.
+    let mut pieces = vec![head(1 << 20), b"{\n".to_vec()];
+    pieces.extend((0..1000).map(|n| format!("  \"key{n}\": 0,\n").into_bytes()));
+    let (result, elapsed) = call(pieces);
+    assert!(matches!(result, Err(ClientError::Silent)), "{result:?}");
+    assert!(elapsed <= MAX_TIME, "{elapsed:?}");
 }
 
 #[test]
@@ -124,12 +116,10 @@
         || InjectedFaults::errors(Errno::INTR, 2),
         InjectedFaults::short_reads,
     ] {
-        for watched in [true, false] {
-            let faults = fault();
-            let (result, elapsed) = call(watched, vec![head(LIST.len()), LIST.as_bytes().to_vec()]);
-            assert_eq!(result.expect("a list"), LIST);
-            assert!(elapsed <= 3 * STEP, "{elapsed:?}");
-            assert!(faults.count() > 0, "it is reached");
-        }
+        let faults = fault();
+        let (result, elapsed) = call(vec![head(LIST.len()), LIST.as_bytes().to_vec()]);
+        assert_eq!(result.expect("a list"), LIST);
+        assert!(elapsed <= 3 * STEP, "{elapsed:?}");
+        assert!(faults.count() > 0, "it is reached");
     }
 }
--- a/crates/node/src/discovery/framing.rs
+++ b/crates/node/src/discovery/framing.rs
@@ -4,7 +4,7 @@
 use bytes::{Buf, Bytes, BytesMut};
 
 /// The longest list that is accepted, in bytes.
-pub const MAX_LIST_BYTES: usize = 4 << 20;
+const MAX_LIST_BYTES: usize = 4 << 20;
 /// Added to the open brackets for a line that is no JSON, so that the list ends there.
 const MALFORMED_LINE: i64 = i64::MIN / 2;
 
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -59,7 +59,6 @@
 #[derive(Clone, Copy)]
 enum ListSource {
     Cached,
-    Fetched,
     Watched,
 }
 
@@ -67,7 +66,6 @@
     fn kind(self, is_snapshot: bool) -> ListKind {
         match self {
             ListSource::Cached => ListKind::Cached,
-            ListSource::Fetched => ListKind::Snapshot,
             ListSource::Watched if is_snapshot => ListKind::Snapshot,
             ListSource::Watched => ListKind::Delta,
         }
--- a/crates/node/src/discovery/poll.rs
+++ b/crates/node/src/discovery/poll.rs
@@ -2,7 +2,7 @@
 //! to it.
 
 use crate::discovery::client::ClientError;
-use crate::discovery::{Discovery, ListSource, next_address};
+use crate::discovery::{Discovery, next_address};
 use crate::logging::log;
 use crate::message::DiscoveryCommand;
 use ottertiller_balancer::ListKind;
@@ -37,14 +37,14 @@
                 .next_poll_event(subscription, &mut commands, &mut addresses)
                 .await
             {
-                PollEvent::Command(Some(DiscoveryCommand::Subscribe(enabled))) => {
+                PollEvent::Command(Some(DiscoveryCommand::Subscribe)) => {
                     subscription = Subscription {
-                        wanted: enabled,
-                        watching: enabled,
+                        wanted: true,
+                        watching: true,
                     };
                 }
-                PollEvent::Command(Some(DiscoveryCommand::Fetch)) => {
-                    self.fetch(&mut subscription, &mut addresses).await;
+                PollEvent::Command(Some(DiscoveryCommand::Unsubscribe)) => {
+                    subscription = Subscription::default();
                 }
                 PollEvent::Command(None) => return,
                 PollEvent::DiscoveryMoved(address) => {
@@ -73,31 +73,4 @@
             error = self.watch(), if subscription.watching => PollEvent::WatchBroken(error),
         }
     }
-
-    /// Fetches the complete list once; from the new address if discovery moves meanwhile.
-    async fn fetch(
-        &mut self,
-        subscription: &mut Subscription,
-        addresses: &mut watch::Receiver<SocketAddr>,
-    ) {
-        let fetched = loop {
-            tokio::select! {
-                fetched = self.fetch_and_apply() => break fetched,
-                address = next_address(addresses) => {
-                    self.move_to(address);
-                    subscription.watching = subscription.wanted;
-                }
-            }
-        };
-        if let Err(error) = fetched {
-            log(format_args!("endpoint list fetch failed: {error}"));
-            self.publish(ListKind::Failed, Vec::new()).await;
-        }
-    }
-
-    async fn fetch_and_apply(&mut self) -> Result<(), ClientError> {
-        let list = self.client.fetch_list().await?;
-        self.apply_list(&list, ListSource::Fetched).await;
-        Ok(())
-    }
 }
--- a/crates/node/src/dispatcher.rs
+++ b/crates/node/src/dispatcher.rs
@@ -239,16 +239,12 @@
                     .set_timer(self.clock.now() + after, Timer::Balancer(timer));
             }
             Action::HealthCheck { endpoint } => self.start_health_check(endpoint),
-            Action::CloseIdleConnections { endpoint } => {
-                self.upstream.close_idle_connections(endpoint)
+            Action::Subscribe { enabled: true } => {
+                self.command_discovery(DiscoveryCommand::Subscribe)
             }
-            Action::Subscribe { enabled } => {
-                self.command_discovery(DiscoveryCommand::Subscribe(enabled))
+            Action::Subscribe { enabled: false } => {
+                self.command_discovery(DiscoveryCommand::Unsubscribe)
             }
-            Action::FetchEndpointList => self.command_discovery(DiscoveryCommand::Fetch),
-            // Nodes exchange no messages: the balancer sends none, and the protocol allows none.
-            Action::SendToPeer { .. } => log("a message to another node was dropped"),
-            Action::Log { text } => log(text),
         }
         None
     }
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -141,8 +141,8 @@
 
 /// A command from the balancer to discovery.
 pub enum DiscoveryCommand {
-    /// Watch for changes, or stop watching.
-    Subscribe(bool),
-    /// Fetch the whole list once.
-    Fetch,
+    /// Watch the list for changes.
+    Subscribe,
+    /// Stop watching it.
+    Unsubscribe,
 }
--- a/crates/node/src/upstream/attempt/tests.rs
+++ b/crates/node/src/upstream/attempt/tests.rs
@@ -67,7 +67,7 @@
             load_reports,
         };
         let result = Rc::new(upstream).run_attempt(attempt, stopped).await;
-        pool.close_idle(ENDPOINT);
+        pool.update(ListKind::Snapshot, &[]); // closes the idle connections
         (result.outcome, served.await.expect("the endpoint's part"))
     })
 }
--- a/crates/node/src/upstream/mod.rs
+++ b/crates/node/src/upstream/mod.rs
@@ -12,7 +12,7 @@
 use crate::message::ListedEndpoint;
 use load_report::LoadReportParser;
 use ottertiller_balancer::settings::Column;
-use ottertiller_balancer::{EndpointId, ListKind, LoadReportSource};
+use ottertiller_balancer::{ListKind, LoadReportSource};
 use pool::Pool;
 use std::rc::Rc;
 
@@ -55,11 +55,6 @@
         self.pool.update(kind, listed);
     }
 
-    /// Closes the idle connections to an endpoint.
-    pub fn close_idle_connections(&self, endpoint: EndpointId) {
-        self.pool.close_idle(endpoint);
-    }
-
     /// What the pool holds now.
     #[cfg(test)]
     pub fn pool_usage(&self) -> pool::Usage {
--- a/crates/node/src/upstream/pool/mod.rs
+++ b/crates/node/src/upstream/pool/mod.rs
@@ -98,13 +98,6 @@
         self.registry.borrow_mut().apply(kind, listed);
     }
 
-    /// Closes the idle connections to an endpoint.
-    pub fn close_idle(&self, endpoint: EndpointId) {
-        if let Some(slot) = self.registry.borrow_mut().get_mut(endpoint) {
-            slot.idle.close_all();
-        }
-    }
-
     /// Takes back a connection that has carried nothing since it was checked out or dialled, or
     /// whose last exchange needs no cool-down. The longest waiting attempt gets it; if nobody
     /// waits, it stays idle for the next.
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -45,6 +45,7 @@
             Input::Stop => {
                 self.instances.remove(&number);
             }
+            Input::PeerMessage => {}
             Input::Event { event, report } => {
                 // An event for an instance that has stopped is late, and has no effect.
                 let Some(instance) = self.instances.get_mut(&number) else {
--- a/crates/simulator-adapter/src/wire/codes.rs
+++ b/crates/simulator-adapter/src/wire/codes.rs
@@ -18,20 +18,18 @@
     Stop = 10,
 }
 
-/// The first byte of an action record.
+/// The first byte of an action record, for each action that the balancer takes. The protocol has
+/// others: 67 logs a line, 72 reads the endpoint list once, 73 sends a message to other nodes and
+/// 74 closes idle connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ActionCode {
     Fail = 65,
     HealthCheck = 66,
-    Log = 67,
     SetTimer = 68,
     CancelAttempt = 69,
     Subscribe = 70,
     /// The decisions of the instance panicked.
     Fault = 71,
-    FetchEndpointList = 72,
-    SendToPeer = 73,
-    CloseIdleConnections = 74,
     Shed = 75,
     StartAttempt = 76,
 }
--- a/crates/simulator-adapter/src/wire/record.rs
+++ b/crates/simulator-adapter/src/wire/record.rs
@@ -32,6 +32,8 @@
     Start { seed: u64, settings: Vec<u8> },
     /// The instance has been killed.
     Stop,
+    /// A message from another instance, which no decision uses.
+    PeerMessage,
     /// Something for its decisions. The report, if any, still needs the columns of the instance.
     Event {
         event: Event,
@@ -96,9 +98,9 @@
             EventCode::Timer => Ok(Input::without_report(Event::Timer(timer(fields.u64())))),
             EventCode::HealthChecked => health_checked(fields),
             EventCode::PeerMessage => {
-                let from = fields.u32();
-                let data = bytes_in_tail("peer message", fields, tail)?;
-                Ok(Input::without_report(Event::PeerMessage { from, data }))
+                fields.skip::<4>(); // the sender
+                slice_of_tail("peer message", fields, tail, 1)?;
+                Ok(Input::PeerMessage)
             }
         }
     }
--- a/crates/simulator-adapter/src/wire/reply.rs
+++ b/crates/simulator-adapter/src/wire/reply.rs
@@ -5,9 +5,6 @@
 use ottertiller_balancer::{Action, EndpointId};
 use std::time::Duration;
 
-/// The receiver of a message to all nodes.
-const ALL_PEERS: u16 = u16::MAX;
-
 /// The reply to one batch, as it grows.
 #[derive(Default)]
 pub struct Reply {
@@ -24,9 +21,6 @@
             Action::HealthCheck { endpoint } => self
                 .record(ActionCode::HealthCheck, instance)
                 .endpoint(*endpoint),
-            Action::Log { text } => self
-                .record(ActionCode::Log, instance)
-                .in_tail(text.as_bytes()),
             Action::SetTimer { after, timer } => self
                 .record(ActionCode::SetTimer, instance)
                 .millis(*after)
@@ -38,16 +32,6 @@
             Action::Subscribe { enabled } => self
                 .record(ActionCode::Subscribe, instance)
                 .u8((*enabled).into()),
-            Action::FetchEndpointList => self.record(ActionCode::FetchEndpointList, instance),
-            Action::SendToPeer { to, data } => {
-                let to = to.map_or(ALL_PEERS, |to| to as u16);
-                self.record(ActionCode::SendToPeer, instance)
-                    .u16(to)
-                    .in_tail(data)
-            }
-            Action::CloseIdleConnections { endpoint } => self
-                .record(ActionCode::CloseIdleConnections, instance)
-                .endpoint(*endpoint),
             Action::Shed { id, retry_after } => {
                 let retry_after = retry_after.unwrap_or_default();
                 self.record(ActionCode::Shed, instance)
