--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -63,7 +63,7 @@
     /// Requests that await their final answer or the end of an attempt.
     pub requests: usize,
     /// Those of them that are held until a health check has been answered.
-    pub held: usize,
+    pub queued: usize,
 }
 
 impl Balancer {
@@ -108,7 +108,7 @@
             Event::ClientDisconnected { id } => self.close(id, actions),
             Event::Timer(Timer::EndpointPolling) => self.poll_endpoints(actions),
             Event::Timer(Timer::Request(id)) => self.on_request_timer(id, actions),
-            Event::HealthChecked(end) => self.on_health_checked(end, actions),
+            Event::HealthCheckEnded(end) => self.on_health_checked(end, actions),
         }
     }
 
@@ -118,7 +118,7 @@
         TableSizes {
             endpoints: self.endpoints.len(),
             requests: self.requests.len(),
-            held: self.held.ids().len(),
+            queued: self.held.ids().len(),
         }
     }
 
--- a/crates/balancer/src/balancer/life_cycle.rs
+++ b/crates/balancer/src/balancer/life_cycle.rs
@@ -77,7 +77,7 @@
         if attempt.outcome.replace(end.outcome).is_some() {
             return;
         }
-        let needs_no_answer = end.finished || request.closed;
+        let needs_no_answer = end.request_finished || request.closed;
         let all_ended = request.in_flight() == 0;
         self.learn(&end);
         if needs_no_answer {
--- a/crates/balancer/src/endpoint.rs
+++ b/crates/balancer/src/endpoint.rs
@@ -26,7 +26,7 @@
     /// The zone it is in.
     pub zone: u8,
     /// Its machine type.
-    pub kind: u8,
+    pub machine_type: u8,
     /// Its cell.
     pub cell: u16,
     /// Its state.
--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -36,7 +36,7 @@
     /// A timer set by this node has expired.
     Timer(Timer),
     /// A health check has ended.
-    HealthChecked(HealthCheckEnd),
+    HealthCheckEnded(HealthCheckEnd),
 }
 
 /// How a health check ended.
--- a/crates/balancer/src/health/active_check.rs
+++ b/crates/balancer/src/health/active_check.rs
@@ -28,7 +28,7 @@
     /// No health check in flight.
     pub fn new(settings: &Settings) -> Self {
         ActiveChecks {
-            price: settings.prices.health_check,
+            price: settings.cost_weights.health_check,
             weight_by_work: settings.weight_by_work,
             tick: settings.tick,
             in_flight: 0,
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -30,8 +30,8 @@
 pub use event::{Event, HealthCheckEnd};
 pub use request::{AttemptEnd, NewRequest, Outcome, RequestId};
 pub use settings::{
-    Goal, Idempotency, Limits, LoadReportSource, Prices, RequestClass, Rules, Scope, Settings,
-    SettingsError, Tenant,
+    CostWeights, Idempotency, Limits, LoadReportSource, ObjectiveWeights, RequestClass, Rules,
+    Scope, Settings, SettingsError, Tenant,
 };
 pub use timer::Timer;
 
--- a/crates/balancer/src/priority.rs
+++ b/crates/balancer/src/priority.rs
@@ -33,8 +33,8 @@
         Priorities {
             quotas: settings.tenants.iter().map(quota).collect(),
             over_quota_weight: settings.over_quota_weight,
-            worst_class: settings.goal.worst_class,
-            whole: settings.goal.whole.max(SMOOTHING),
+            worst_class: settings.objective_weights.worst_class,
+            whole: settings.objective_weights.whole.max(SMOOTHING),
             mean_weight: class_weights.iter().sum::<f64>() / class_weights.len().max(1) as f64,
             class_weights,
         }
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -71,7 +71,7 @@
     /// The time since it was sent.
     pub elapsed: Duration,
     /// Whether the request has its final answer; otherwise the node still owes it.
-    pub finished: bool,
+    pub request_finished: bool,
     /// The endpoint's load report, if one came with it.
     pub report: Option<LoadReport>,
 }
--- a/crates/balancer/src/routing/subset.rs
+++ b/crates/balancer/src/routing/subset.rs
@@ -7,7 +7,7 @@
 
 /// The share of the service that connections may cost: little beside what uninformed sends cost.
 const CONNECTION_BUDGET: f64 = 0.01;
-/// The connections open to each endpoint that `Prices::connections` is the price of.
+/// The connections open to each endpoint that `CostWeights::connections` is the price of.
 const PRICED_CONNECTIONS: f64 = 100.0;
 /// How often an endpoint is to be seen within the window of rates: one that is seen seldom is never
 /// known to be slow or gone.
@@ -44,7 +44,7 @@
         let window = settings.rate_window();
         Subset {
             affordable_connections: PRICED_CONNECTIONS * CONNECTION_BUDGET
-                / settings.prices.connections,
+                / settings.cost_weights.connections,
             node_count: f64::from(settings.node_count),
             sightings: SIGHTINGS / per_send,
             window,
--- a/crates/balancer/src/settings/file.rs
+++ b/crates/balancer/src/settings/file.rs
@@ -3,8 +3,8 @@
 
 use super::error::{JsonError, SettingsError};
 use super::model::{
-    Goal, Idempotency, Limits, LoadReportSource, Prices, RequestClass, Rules, Scope, Settings,
-    Tenant,
+    CostWeights, Idempotency, Limits, LoadReportSource, ObjectiveWeights, RequestClass, Rules,
+    Scope, Settings, Tenant,
 };
 use super::report_column::Column;
 use serde::Deserialize;
@@ -12,11 +12,11 @@
 
 /// All that a node reads from its settings file.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Site {
+pub struct SettingsFile {
     /// The settings of its balancer.
     pub settings: Settings,
     /// The columns of a load report, in order.
-    pub columns: Vec<Column>,
+    pub load_report_columns: Vec<Column>,
     /// The names of the classes, in the order of [`Settings::classes`].
     pub class_names: Vec<String>,
     /// The names of the tenants, in the order of [`Settings::tenants`].
@@ -24,9 +24,9 @@
     /// The names of the zones, in the order of their numbers.
     pub zone_names: Vec<String>,
     /// The names of the machine types, in the order of their numbers.
-    pub kind_names: Vec<String>,
+    pub machine_type_names: Vec<String>,
     /// An endpoint closes a connection that has been idle for this long.
-    pub idle_close: Duration,
+    pub endpoint_idle_timeout: Duration,
 }
 
 #[derive(Deserialize)]
@@ -241,21 +241,23 @@
     Ok(value)
 }
 
-/// Parses a settings file.
-pub fn parse(text: &[u8]) -> Result<Site, SettingsError> {
-    let raw: RawSettings = from_json(text)?;
-    if raw.classes.is_empty() {
-        return Err(SettingsError::NoClasses);
+impl SettingsFile {
+    /// Parses a settings file.
+    pub fn parse(text: &[u8]) -> Result<Self, SettingsError> {
+        let raw: RawSettings = from_json(text)?;
+        if raw.classes.is_empty() {
+            return Err(SettingsError::NoClasses);
+        }
+        Ok(SettingsFile {
+            settings: settings(&raw),
+            load_report_columns: raw.load_report.columns,
+            class_names: raw.classes.into_iter().map(|class| class.name).collect(),
+            tenant_names: raw.projects.into_iter().map(|tenant| tenant.name).collect(),
+            zone_names: raw.localities,
+            machine_type_names: raw.host_types,
+            endpoint_idle_timeout: millis(raw.permissions.idle_close),
+        })
     }
-    Ok(Site {
-        settings: settings(&raw),
-        columns: raw.load_report.columns,
-        class_names: raw.classes.into_iter().map(|class| class.name).collect(),
-        tenant_names: raw.projects.into_iter().map(|tenant| tenant.name).collect(),
-        zone_names: raw.localities,
-        kind_names: raw.host_types,
-        idle_close: millis(raw.permissions.idle_close),
-    })
 }
 
 fn settings(raw: &RawSettings) -> Settings {
@@ -274,8 +276,8 @@
         },
         limits: limits(&raw.permissions),
         rules: rules(&raw.rules),
-        prices: prices(&raw.prices),
-        goal: goal(&raw.goal),
+        cost_weights: cost_weights(&raw.prices),
+        objective_weights: objective_weights(&raw.goal),
         poll_endpoints: matches!(raw.registry_mode, Mode::Ask),
         tick: millis(raw.quantum),
     }
@@ -334,8 +336,8 @@
     }
 }
 
-fn prices(raw: &RawPrices) -> Prices {
-    Prices {
+fn cost_weights(raw: &RawPrices) -> CostWeights {
+    CostWeights {
         health_check: raw.probe,
         cross_zone: raw.cross_zone,
         waste: raw.waste,
@@ -344,8 +346,8 @@
     }
 }
 
-fn goal(raw: &RawGoal) -> Goal {
-    Goal {
+fn objective_weights(raw: &RawGoal) -> ObjectiveWeights {
+    ObjectiveWeights {
         whole: raw.whole,
         worst_window: raw.worst_window,
         worst_class: raw.worst_class,
--- a/crates/balancer/src/settings/mod.rs
+++ b/crates/balancer/src/settings/mod.rs
@@ -6,9 +6,9 @@
 mod report_column;
 
 pub use error::{JsonError, SettingsError};
-pub use file::{Site, from_json, millis, parse};
+pub use file::{SettingsFile, from_json, millis};
 pub use model::{
-    Goal, Idempotency, Limits, LoadReportSource, Prices, RequestClass, Rules, Scope, Settings,
-    Tenant,
+    CostWeights, Idempotency, Limits, LoadReportSource, ObjectiveWeights, RequestClass, Rules,
+    Scope, Settings, Tenant,
 };
 pub use report_column::Column;
--- a/crates/balancer/src/settings/model.rs
+++ b/crates/balancer/src/settings/model.rs
@@ -29,9 +29,9 @@
     /// The parameters of the rules that must never be broken.
     pub rules: Rules,
     /// What is deducted from the goal, as fractions of the service.
-    pub prices: Prices,
+    pub cost_weights: CostWeights,
     /// The weights of the goal's parts.
-    pub goal: Goal,
+    pub objective_weights: ObjectiveWeights,
     /// Whether the endpoint list must be polled; otherwise changes are pushed.
     pub poll_endpoints: bool,
     /// The least time between two rounds of events, and so the precision of timers.
@@ -142,7 +142,7 @@
 
 /// What is deducted from the goal.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Prices {
+pub struct CostWeights {
     /// One health check for each request costs this fraction of the service.
     pub health_check: f64,
     /// An attempt that crosses zones, for each request.
@@ -157,7 +157,7 @@
 
 /// The weights of the goal's parts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Goal {
+pub struct ObjectiveWeights {
     /// The whole time.
     pub whole: f64,
     /// The worst time window.
@@ -217,10 +217,10 @@
                 overload_window: Duration::from_secs(2),
                 poll_interval: Duration::from_secs(10),
             },
-            prices: Prices::default(),
-            goal: Goal {
+            cost_weights: CostWeights::default(),
+            objective_weights: ObjectiveWeights {
                 whole: 1.0,
-                ..Goal::default()
+                ..ObjectiveWeights::default()
             },
             poll_endpoints: false,
             tick: Duration::from_millis(1),
--- a/crates/balancer/tests/action_digest.rs
+++ b/crates/balancer/tests/action_digest.rs
@@ -27,10 +27,10 @@
         },
     ];
     settings.over_quota_weight = 0.1;
-    settings.goal.worst_class = 0.1;
+    settings.objective_weights.worst_class = 0.1;
     settings.limits.max_retry_after = Some(ms(2_000));
     if with_prices {
-        settings.prices.connections = 0.2;
+        settings.cost_weights.connections = 0.2;
         settings.weight_by_work = true;
     }
     settings
--- a/crates/balancer/tests/decisions/health_checks.rs
+++ b/crates/balancer/tests/decisions/health_checks.rs
@@ -34,7 +34,7 @@
         (
             settings.node_count,
             settings.weight_by_work,
-            settings.prices.health_check,
+            settings.cost_weights.health_check,
         ) = (100, true, price);
         let mut node = NodeSimulation::with_endpoints(settings, 8);
         let (mut light, mut heavy) = (0, 0);
--- a/crates/balancer/tests/decisions/late_events.rs
+++ b/crates/balancer/tests/decisions/late_events.rs
@@ -21,14 +21,14 @@
         elapsed: ms(1),
         report: None,
     };
-    assert!(node.deliver(Event::HealthChecked(end)).is_empty());
+    assert!(node.deliver(Event::HealthCheckEnded(end)).is_empty());
     let ended = AttemptEnd {
         id,
         attempt: 0,
         endpoint,
         outcome: Outcome::Served,
         elapsed: ms(1),
-        finished: true,
+        request_finished: true,
         report: None,
     };
     assert!(node.deliver(Event::AttemptEnded(ended)).is_empty());
--- a/crates/balancer/tests/decisions/subset.rs
+++ b/crates/balancer/tests/decisions/subset.rs
@@ -10,7 +10,7 @@
 fn where_connections_have_a_price_a_node_uses_a_small_subset_and_all_endpoints_get_their_share() {
     // Guards against: each node connects to each endpoint, and most connects fail.
     let mut settings = response_report_settings();
-    (settings.node_count, settings.prices.connections) = (40, 0.1);
+    (settings.node_count, settings.cost_weights.connections) = (40, 0.1);
     let mut nodes_of = BTreeMap::new();
     for node_index in 0..40 {
         let mut node = NodeSimulation::with_seed(
--- a/crates/balancer/tests/decisions/unusual_settings.rs
+++ b/crates/balancer/tests/decisions/unusual_settings.rs
@@ -11,7 +11,7 @@
         ..health_check_settings()
     };
     let free_health_checks = Settings {
-        prices: Prices::default(),
+        cost_weights: CostWeights::default(),
         ..health_check_settings()
     };
     let mut no_load_reports = health_check_settings();
--- a/crates/balancer/tests/memory.rs
+++ b/crates/balancer/tests/memory.rs
@@ -53,12 +53,12 @@
                         endpoint,
                         outcome,
                         elapsed,
-                        finished: true,
+                        request_finished: true,
                         report,
                     };
                     Event::AttemptEnded(end)
                 }
-                Action::HealthCheck { endpoint } => Event::HealthChecked(HealthCheckEnd {
+                Action::HealthCheck { endpoint } => Event::HealthCheckEnded(HealthCheckEnd {
                     endpoint,
                     outcome,
                     elapsed,
--- a/crates/balancer/tests/simulation/fixtures.rs
+++ b/crates/balancer/tests/simulation/fixtures.rs
@@ -62,7 +62,7 @@
     let mut settings = settings();
     settings.load_reports = LoadReportSource::HealthChecks;
     settings.limits.health_checks = true;
-    settings.prices.health_check = 0.002;
+    settings.cost_weights.health_check = 0.002;
     settings
 }
 
--- a/crates/balancer/tests/simulation/fleet/faults.rs
+++ b/crates/balancer/tests/simulation/fleet/faults.rs
@@ -89,7 +89,7 @@
         let report = (outcome == Outcome::Served).then(|| self.load_report(endpoint));
         self.deliver(
             node,
-            Event::HealthChecked(HealthCheckEnd {
+            Event::HealthCheckEnded(HealthCheckEnd {
                 endpoint,
                 outcome,
                 elapsed,
--- a/crates/balancer/tests/simulation/fleet/mod.rs
+++ b/crates/balancer/tests/simulation/fleet/mod.rs
@@ -394,7 +394,7 @@
             endpoint,
             outcome,
             elapsed: self.now - started,
-            finished: served,
+            request_finished: served,
             report: (reports && served).then(|| self.load_report(endpoint)),
         };
         self.deliver(node, Event::AttemptEnded(end));
--- a/crates/balancer/tests/simulation/node/mod.rs
+++ b/crates/balancer/tests/simulation/node/mod.rs
@@ -171,7 +171,7 @@
             endpoint: attempt.endpoint,
             outcome,
             elapsed: self.now - attempt.started,
-            finished: request.answered,
+            request_finished: request.answered,
             report: in_flight.map(in_flight_report),
         };
         self.deliver(Event::AttemptEnded(end))
@@ -190,7 +190,7 @@
         };
         let elapsed = self.now - started;
         let report = in_flight.map(in_flight_report);
-        self.deliver(Event::HealthChecked(HealthCheckEnd {
+        self.deliver(Event::HealthCheckEnded(HealthCheckEnd {
             endpoint,
             outcome,
             elapsed,
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -9,7 +9,7 @@
 
 use capacity::{Capacity, MIN_SOCKETS};
 use file::{File, Limits};
-use ottertiller_balancer::settings::{self, Site};
+use ottertiller_balancer::settings::{self, SettingsFile};
 use rustix::process::{Resource, getrlimit};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -37,9 +37,9 @@
     /// The most bytes of request and response bodies held at once.
     pub body_bytes: usize,
     /// The endpoint list as this node last had it: discovery's JSON, perhaps out of date.
-    pub known: Option<String>,
+    pub cached_list: Option<String>,
     /// The balancer's settings, and the names that requests and endpoints use.
-    pub site: Site,
+    pub settings_file: SettingsFile,
 }
 
 impl Config {
@@ -61,8 +61,8 @@
         let listen = parse_address("listen", &file.listen)?;
         let discovery = parse_address("discovery", &file.discovery)?;
         let seed = parse_seed(&file.seed)?;
-        let site = parse_settings(file.settings.get())?;
-        check_names(&site)?;
+        let settings_file = parse_settings(file.settings.get())?;
+        check_names(&settings_file)?;
         let capacity = capacity(&file.limits)?;
         Ok(Config {
             name: file.name,
@@ -73,8 +73,8 @@
             client_connections: capacity.client_connections,
             endpoint_connections: capacity.endpoint_connections,
             body_bytes: capacity.body_bytes,
-            known: file.known.map(|list| list.get().to_owned()),
-            site,
+            cached_list: file.cached_list.map(|list| list.get().to_owned()),
+            settings_file,
         })
     }
 
@@ -85,7 +85,7 @@
             ("name", self.name != later.name),
             ("listen", self.listen != later.listen),
             ("limits", self.limits != later.limits),
-            ("settings", self.site != later.site),
+            ("settings", self.settings_file != later.settings_file),
         ];
         keys.into_iter()
             .filter(|(_, differs)| *differs)
@@ -106,17 +106,17 @@
     Ok(u64::from_str_radix(text, 16)?)
 }
 
-fn parse_settings(json: &str) -> Result<Site, ConfigError> {
-    Ok(settings::parse(json.as_bytes())?)
+fn parse_settings(json: &str) -> Result<SettingsFile, ConfigError> {
+    Ok(SettingsFile::parse(json.as_bytes())?)
 }
 
 /// Names are mapped to positions: two positions would mean the same class, tenant or zone if a name
 /// was repeated.
-fn check_names(site: &Site) -> Result<(), ConfigError> {
+fn check_names(settings: &SettingsFile) -> Result<(), ConfigError> {
     let lists = [
-        ("settings.Classes", &site.class_names),
-        ("settings.Projects", &site.tenant_names),
-        ("settings.Localities", &site.zone_names),
+        ("settings.Classes", &settings.class_names),
+        ("settings.Projects", &settings.tenant_names),
+        ("settings.Localities", &settings.zone_names),
     ];
     for (key, names) in lists {
         let has_empty = names.iter().any(String::is_empty);
--- a/crates/node/src/config/file.rs
+++ b/crates/node/src/config/file.rs
@@ -20,8 +20,8 @@
     #[serde(default)]
     pub limits: Limits,
     /// The endpoint list as the node last had it, in discovery's format.
-    #[serde(default)]
-    pub known: Option<Box<RawValue>>,
+    #[serde(default, rename = "known")]
+    pub cached_list: Option<Box<RawValue>>,
     /// The balancer's settings.
     pub settings: Box<RawValue>,
 }
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -9,8 +9,8 @@
 use std::hash::Hasher;
 use std::net::SocketAddr;
 
-/// The kind of an endpoint whose kind has no name in the settings.
-const UNKNOWN_KIND: u8 = u8::MAX;
+/// The machine type of an endpoint whose type has no name in the settings.
+const UNKNOWN_MACHINE_TYPE: u8 = u8::MAX;
 /// The zone of an endpoint that names none.
 const DEFAULT_ZONE: u8 = 0;
 
@@ -56,7 +56,7 @@
     #[serde(default)]
     zone: String,
     #[serde(default, rename = "type")]
-    kind: String,
+    machine_type: String,
     #[serde(default)]
     group: u16,
     status: Status,
@@ -91,15 +91,15 @@
 /// Parses entries by the names that the site's settings list.
 pub struct EntryParser {
     zone_names: Vec<String>,
-    kind_names: Vec<String>,
+    machine_type_names: Vec<String>,
 }
 
 impl EntryParser {
-    /// A parser for zones and machine kinds of these names, in the order of their numbers.
-    pub fn new(zone_names: Vec<String>, kind_names: Vec<String>) -> Self {
+    /// A parser for zones and machine types of these names, in the order of their numbers.
+    pub fn new(zone_names: Vec<String>, machine_type_names: Vec<String>) -> Self {
         EntryParser {
             zone_names,
-            kind_names,
+            machine_type_names,
         }
     }
 
@@ -115,9 +115,10 @@
         let entry = EndpointEntry {
             id: endpoint_id(&raw.name),
             zone,
-            // An endpoint of a new kind serves like any other, but the zone decides where retries
+            // An endpoint of a new type serves like any other, but the zone decides where retries
             // may go.
-            kind: position(&self.kind_names, &raw.kind).unwrap_or(UNKNOWN_KIND),
+            machine_type: position(&self.machine_type_names, &raw.machine_type)
+                .unwrap_or(UNKNOWN_MACHINE_TYPE),
             cell: raw.group,
             state: raw.status.into(),
             weight: raw.weight,
--- a/crates/node/src/discovery/endpoint_list/tests.rs
+++ b/crates/node/src/discovery/endpoint_list/tests.rs
@@ -25,9 +25,12 @@
         }))
     };
     let known = parse("b", "small").expect("well formed").entry;
-    assert_eq!((known.zone, known.kind), (1, 0));
+    assert_eq!((known.zone, known.machine_type), (1, 0));
     let unknown_kind = parse("b", "large").expect("well formed").entry;
-    assert_eq!((unknown_kind.zone, unknown_kind.kind), (1, UNKNOWN_KIND));
+    assert_eq!(
+        (unknown_kind.zone, unknown_kind.machine_type),
+        (1, UNKNOWN_MACHINE_TYPE)
+    );
     assert!(
         matches!(parse("c", "small"), Err(EntryError::UnknownZone { name, zone }) if name == "s1" && zone == "c")
     );
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -39,7 +39,7 @@
     /// The names of zones, in the order of their numbers.
     pub zone_names: Vec<String>,
     /// The names of machine kinds, in the order of their numbers.
-    pub kind_names: Vec<String>,
+    pub machine_type_names: Vec<String>,
 }
 
 /// Keeps the endpoint list up to date, and sends each change to the dispatcher.
@@ -80,7 +80,7 @@
             client: Client::new(options.address, 2 * max_pause),
             // Not the balancer's own random numbers.
             backoff: Backoff::new(max_pause, !options.seed),
-            parser: EntryParser::new(options.zone_names, options.kind_names),
+            parser: EntryParser::new(options.zone_names, options.machine_type_names),
             messages,
             readiness: Readiness::default(),
             cached_list: options.cached_list,
--- a/crates/node/src/dispatcher.rs
+++ b/crates/node/src/dispatcher.rs
@@ -148,7 +148,7 @@
             endpoint: attempt.endpoint,
             outcome,
             elapsed: self.clock.now().saturating_sub(attempt.started),
-            finished: attempt.was_answered || answers_now,
+            request_finished: attempt.was_answered || answers_now,
             report,
         }));
     }
@@ -161,7 +161,7 @@
             report,
         } = result;
         let elapsed = self.clock.now().saturating_sub(started);
-        self.on_event(Event::HealthChecked(HealthCheckEnd {
+        self.on_event(Event::HealthCheckEnded(HealthCheckEnd {
             endpoint,
             outcome,
             elapsed,
@@ -287,7 +287,7 @@
                 endpoint,
                 outcome: Outcome::NotSent,
                 elapsed: Duration::ZERO,
-                finished: is_answered,
+                request_finished: is_answered,
                 report: None,
             })),
         }
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -122,15 +122,15 @@
 /// What the dispatcher takes from the configuration.
 pub fn dispatcher_options(config: &Config) -> DispatcherOptions {
     DispatcherOptions {
-        settings: config.site.settings.clone(),
+        settings: config.settings_file.settings.clone(),
         seed: config.seed,
     }
 }
 
 fn downstream_options(config: &Config) -> downstream::Options {
-    let names = config.site.class_names.iter();
+    let names = config.settings_file.class_names.iter();
     let classes = names
-        .zip(&config.site.settings.classes)
+        .zip(&config.settings_file.settings.classes)
         .map(|(name, class)| downstream::RequestClass {
             name: name.clone(),
             idempotency: class.idempotency,
@@ -139,8 +139,8 @@
     downstream::Options {
         max_connections: config.client_connections,
         classes: classes.collect(),
-        tenants: config.site.tenant_names.clone(),
-        max_retry_after: config.site.settings.limits.max_retry_after,
+        tenants: config.settings_file.tenant_names.clone(),
+        max_retry_after: config.settings_file.settings.limits.max_retry_after,
     }
 }
 
@@ -148,27 +148,27 @@
 pub fn upstream_options(config: &Config) -> upstream::Options {
     let pool = upstream::pool::Options {
         max_connections: config.endpoint_connections,
-        connect_timeout: config.site.settings.limits.connect_timeout,
-        endpoint_idle_timeout: config.site.idle_close,
+        connect_timeout: config.settings_file.settings.limits.connect_timeout,
+        endpoint_idle_timeout: config.settings_file.endpoint_idle_timeout,
         response_cooldown: RESPONSE_COOLDOWN,
     };
     upstream::Options {
         pool,
-        load_report_source: config.site.settings.load_reports,
-        load_report_columns: config.site.columns.clone(),
+        load_report_source: config.settings_file.settings.load_reports,
+        load_report_columns: config.settings_file.load_report_columns.clone(),
     }
 }
 
 /// What discovery takes from the configuration.
 pub fn discovery_options(config: &Config) -> discovery::Options {
-    let site = &config.site;
+    let file = &config.settings_file;
     discovery::Options {
         address: config.discovery,
-        cached_list: config.known.clone(),
+        cached_list: config.cached_list.clone(),
         seed: config.seed,
-        poll: site.settings.poll_endpoints,
-        drain_grace: site.settings.rules.drain_grace,
-        zone_names: site.zone_names.clone(),
-        kind_names: site.kind_names.clone(),
+        poll: file.settings.poll_endpoints,
+        drain_grace: file.settings.rules.drain_grace,
+        zone_names: file.zone_names.clone(),
+        machine_type_names: file.machine_type_names.clone(),
     }
 }
--- a/crates/node/tests/node/support/config.rs
+++ b/crates/node/tests/node/support/config.rs
@@ -22,7 +22,7 @@
     format!(
         r#"{{"Classes":[{classes}],"Projects":[{{"Name":"acme","AllowancePerS":1000,"Share":1}}],
         "Localities":["a","b"],"HostTypes":["m"],"Quantum":5,"OverShareWorth":1,"Rules":{{"DrainGrace":2000}},
-        "Goal":{{"Whole":1}},"LoadReport":{{"Columns":["concurrent","depth"],"Via":"piggyback"}},
+        "ObjectiveWeights":{{"Whole":1}},"LoadReport":{{"Columns":["concurrent","depth"],"Via":"piggyback"}},
         "Permissions":{{"AttemptsCap":3,"Cancel":true,"ConnectTimeout":2000,"MaxRetryAfter":1500,
         "RetryAfter":true{permissions}}}}}"#
     )
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -2,7 +2,7 @@
 
 use crate::error::RecordError;
 use crate::wire::RawLoadReport;
-use ottertiller_balancer::settings::{self, Column};
+use ottertiller_balancer::settings::{Column, SettingsFile};
 use ottertiller_balancer::{Action, Balancer, Event};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::Duration;
@@ -23,10 +23,10 @@
 impl Instance {
     /// Starts an instance from the text of its settings.
     pub fn start(settings: &[u8], seed: u64) -> Result<Self, RecordError> {
-        let site = settings::parse(settings)?;
+        let file = SettingsFile::parse(settings)?;
         Ok(Instance {
-            balancer: Balancer::new(site.settings, seed),
-            columns: site.columns,
+            balancer: Balancer::new(file.settings, seed),
+            columns: file.load_report_columns,
         })
     }
 
@@ -40,7 +40,7 @@
         let report = report.map(|raw| raw.named(&self.columns));
         match &mut event {
             Event::AttemptEnded(end) => end.report = report,
-            Event::HealthChecked(end) => end.report = report,
+            Event::HealthCheckEnded(end) => end.report = report,
             _ => {}
         }
         let mut actions = Vec::new();
--- a/crates/simulator-adapter/src/wire/codes.rs
+++ b/crates/simulator-adapter/src/wire/codes.rs
@@ -13,7 +13,7 @@
     AttemptEnded = 5,
     ClientDisconnected = 6,
     Timer = 7,
-    HealthChecked = 8,
+    HealthCheckEnded = 8,
     PeerMessage = 9,
     Stop = 10,
 }
@@ -46,7 +46,7 @@
             5 => EventCode::AttemptEnded,
             6 => EventCode::ClientDisconnected,
             7 => EventCode::Timer,
-            8 => EventCode::HealthChecked,
+            8 => EventCode::HealthCheckEnded,
             9 => EventCode::PeerMessage,
             10 => EventCode::Stop,
             _ => return Err(RecordError::UnknownEventCode(code)),
--- a/crates/simulator-adapter/src/wire/record.rs
+++ b/crates/simulator-adapter/src/wire/record.rs
@@ -96,7 +96,7 @@
                 id: RequestId(fields.u64()),
             })),
             EventCode::Timer => Ok(Input::without_report(Event::Timer(timer(fields.u64())))),
-            EventCode::HealthChecked => health_checked(fields),
+            EventCode::HealthCheckEnded => health_checked(fields),
             EventCode::PeerMessage => {
                 fields.skip::<4>(); // the sender
                 slice_of_tail("peer message", fields, tail, 1)?;
@@ -128,7 +128,7 @@
     let mut fields = FieldReader::new(entry);
     let id = fields.endpoint();
     let zone = fields.u8();
-    let kind = fields.u8();
+    let machine_type = fields.u8();
     let cell = fields.u16();
     let state = endpoint_state(fields.u8())?;
     let weight = fields.f32();
@@ -138,7 +138,7 @@
     Ok(EndpointEntry {
         id,
         zone,
-        kind,
+        machine_type,
         cell,
         state,
         weight,
@@ -184,7 +184,7 @@
         endpoint: fields.endpoint(),
         outcome: outcome(fields.u8())?,
         elapsed: fields.millis(),
-        finished: fields.u8() != 0,
+        request_finished: fields.u8() != 0,
         report: None,
     };
     let report = RawLoadReport::decode(fields)?;
@@ -203,7 +203,7 @@
     };
     let report = RawLoadReport::decode(fields)?;
     Ok(Input::Event {
-        event: Event::HealthChecked(end),
+        event: Event::HealthCheckEnded(end),
         report,
     })
 }
--- a/crates/simulator-adapter/src/wire/tests.rs
+++ b/crates/simulator-adapter/src/wire/tests.rs
@@ -139,7 +139,7 @@
     let near = EndpointEntry {
         id: EndpointId(0x0a12_4a07_1b5b),
         zone: 0,
-        kind: 0,
+        machine_type: 0,
         cell: 0,
         state: EndpointState::Ready,
         weight: 1.0,
@@ -171,7 +171,7 @@
         endpoint: EndpointId(0x0a12_4a07_1b5b),
         outcome: Outcome::Served,
         elapsed: ms(18.5),
-        finished: true,
+        request_finished: true,
         report: None,
     };
     assert_eq!(input, without_report(Event::AttemptEnded(end)));
@@ -184,7 +184,7 @@
         "",
     );
     let Input::Event {
-        event: Event::HealthChecked(end),
+        event: Event::HealthCheckEnded(end),
         report: Some(raw),
     } = input
     else {
