--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -155,11 +155,11 @@
     ) {
         match kind {
             ListKind::Failed => {
-                self.polling.on_failure(self.now, &mut self.random);
+                self.polling.record_failure(self.now, &mut self.random);
                 return self.subscribe_if_due(actions);
             }
             ListKind::Cached => {}
-            ListKind::Delta | ListKind::Snapshot => self.polling.on_list(),
+            ListKind::Delta | ListKind::Snapshot => self.polling.record_list(),
         }
         let send_count = self.endpoints.mean_send_count(self.subset_size());
         let had_endpoints = self.endpoints.has_listed_endpoints();
--- a/crates/balancer/src/endpoint_polling.rs
+++ b/crates/balancer/src/endpoint_polling.rs
@@ -2,6 +2,7 @@
 //! ask`).
 
 use crate::Settings;
+use crate::backoff::Backoff;
 use crate::numeric::Random;
 use std::time::Duration;
 
@@ -18,65 +19,67 @@
 /// Nodes may all have started together: the first calls spread over this part of the poll interval.
 const FIRST_CALL_SPREAD: f64 = 0.25;
 
+/// How many times within the poll interval, at least, the schedule is looked at.
+const CHECKS_PER_INTERVAL: u32 = 64;
+
 /// The schedule of calls to discovery.
 pub struct EndpointPolling {
     interval: Duration,
     /// When to call next; `None` while subscribed.
     next_call: Option<Duration>,
     last_call: Duration,
-    backoff: Duration,
+    backoff: Backoff,
 }
 
 impl EndpointPolling {
-    /// Before the first call.
+    /// Returns the schedule of a node that has not started.
     pub fn new(settings: &Settings) -> Self {
         let interval = settings.rules.poll_interval;
-        let (last_call, backoff) = (Duration::ZERO, Duration::ZERO);
+        let shortest = FIRST_BACKOFF.min(interval / 16);
+        let longest = MAX_BACKOFF.min(interval / 2);
         EndpointPolling {
             interval,
             next_call: None,
-            last_call,
-            backoff,
+            last_call: Duration::ZERO,
+            backoff: Backoff::new(shortest, longest),
         }
     }
 
     /// Schedules the first call of a node that has just started.
     pub fn start(&mut self, now: Duration, random: &mut Random) {
-        self.next_call = Some(now + self.interval.mul_f64(random.unit() * FIRST_CALL_SPREAD));
+        let spread = self.interval.mul_f64(random.unit() * FIRST_CALL_SPREAD);
+        self.next_call = Some(now + spread);
     }
 
-    /// Whether to call now. The call counts as unanswered if there is no list in time.
+    /// Returns whether to call now. The call counts as unanswered if there is no list in time.
     pub fn call_is_due(&mut self, now: Duration) -> bool {
-        let due = self.next_call.is_some_and(|at| now >= at);
-        if due {
+        let is_due = self.next_call.is_some_and(|at| now >= at);
+        if is_due {
             self.last_call = now;
             self.next_call = Some(now + CALL_TIMEOUT.min(self.interval / 2));
         }
-        due
+        is_due
     }
 
-    /// The time between two looks at the schedule, short against every wait in it.
+    /// Returns the time between two looks at the schedule, which is short against every wait in it.
     pub fn check_interval(&self) -> Duration {
-        (self.interval / 64).min(FIRST_BACKOFF / 2)
+        (self.interval / CHECKS_PER_INTERVAL).min(FIRST_BACKOFF / 2)
     }
 
-    /// A call failed: calls again after an exponential backoff with jitter. If the subscription
-    /// broke, the wait counts from the call that opened it: a watch may end in place of a change,
-    /// and discovery works through the calls of all nodes one after the other, so that none of the
-    /// time until the change counts as known is there to be waited out.
-    pub fn on_failure(&mut self, now: Duration, random: &mut Random) {
+    /// Schedules the next call after one that failed, or after the end of the subscription.
+    ///
+    /// If the subscription ended, the wait counts from the call that opened it: a watch may end in
+    /// place of a change, and discovery works through the calls of all nodes one after the other, so
+    /// that none of the time until the change counts as known is there to be waited out.
+    pub fn record_failure(&mut self, now: Duration, random: &mut Random) {
         let was_subscribed = self.next_call.is_none();
         let wait_from = if was_subscribed { self.last_call } else { now };
-        let shortest = FIRST_BACKOFF.min(self.interval / 16);
-        let longest = MAX_BACKOFF.min(self.interval / 2);
-        self.backoff = (2 * self.backoff).clamp(shortest, longest);
-        let jitter = 0.5 + random.unit() / 2.0;
-        self.next_call = Some(wait_from + self.backoff.mul_f64(jitter));
+        self.next_call = Some(wait_from + self.backoff.next_wait(random));
     }
 
-    /// Discovery answered.
-    pub fn on_list(&mut self) {
+    /// Records that discovery has sent a list: the node is subscribed.
+    pub fn record_list(&mut self) {
         self.next_call = None;
-        self.backoff = Duration::ZERO;
+        self.backoff.reset();
     }
 }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -8,6 +8,7 @@
 
 mod action;
 mod admission;
+mod backoff;
 mod balancer;
 mod endpoint;
 mod endpoint_polling;
@@ -25,9 +26,11 @@
 mod timer;
 
 pub use action::Action;
+pub use backoff::Backoff;
 pub use balancer::{Balancer, TableSizes};
 pub use endpoint::{EndpointEntry, EndpointId, EndpointState, ListKind, LoadReport};
 pub use event::{Event, HealthCheckEnd};
+pub use numeric::Random;
 pub use request::{AttemptEnd, NewRequest, Outcome, RequestId};
 pub use settings::{
     CostWeights, Idempotency, Limits, LoadReportSource, ObjectiveWeights, RequestClass, Rules,
--- a/crates/node/src/discovery/backoff/tests.rs
+++ b/crates/node/src/discovery/backoff/tests.rs
@@ -3,33 +3,33 @@
 const SHORT: Duration = Duration::ZERO;
 const LONG: Duration = Duration::from_secs(5);
 
-/// Whether a pause is between half and all of `full`.
-fn is_jittered(pause: Duration, full: Duration) -> bool {
-    pause >= full / 2 && pause <= full
+/// Whether a wait is between half and all of `full`.
+fn is_jittered(wait: Duration, full: Duration) -> bool {
+    wait >= full / 2 && wait <= full
 }
 
 #[test]
-fn pauses_double_up_to_the_longest_and_begin_anew_after_a_call_that_lasted() {
-    let mut backoff = Backoff::new(Duration::from_millis(300), 7);
+fn waits_double_up_to_the_longest_and_begin_anew_after_a_call_that_lasted() {
+    let mut backoff = ReconnectBackoff::new(Duration::from_millis(300), 7);
     for full in [100, 200, 300, 300] {
-        let pause = backoff.next_pause(SHORT);
+        let wait = backoff.next_wait(SHORT);
         assert!(
-            is_jittered(pause, Duration::from_millis(full)),
-            "{pause:?} of {full} ms"
+            is_jittered(wait, Duration::from_millis(full)),
+            "{wait:?} of {full} ms"
         );
     }
-    assert_eq!(backoff.next_pause(LONG), Duration::ZERO);
-    backoff.next_pause(SHORT);
+    assert_eq!(backoff.next_wait(LONG), Duration::ZERO);
+    backoff.next_wait(SHORT);
     backoff.reset();
-    assert!(is_jittered(backoff.next_pause(SHORT), 2 * MIN_PAUSE));
+    assert!(is_jittered(backoff.next_wait(SHORT), FIRST_WAIT));
 }
 
 #[test]
-fn the_longest_pause_is_a_quarter_of_the_drain_grace_within_bounds() {
-    assert_eq!(max_pause(Duration::ZERO), MIN_PAUSE);
+fn the_longest_wait_is_a_quarter_of_the_drain_grace_within_bounds() {
+    assert_eq!(longest_wait(Duration::ZERO), MIN_LONGEST_WAIT);
     assert_eq!(
-        max_pause(Duration::from_secs(2)),
+        longest_wait(Duration::from_secs(2)),
         Duration::from_millis(500)
     );
-    assert_eq!(max_pause(Duration::from_secs(60)), MAX_PAUSE);
+    assert_eq!(longest_wait(Duration::from_secs(60)), MAX_LONGEST_WAIT);
 }
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::logging::log;
 use crate::message::{DiscoveryCommand, EndpointListUpdate, ListedEndpoint, Message};
-use backoff::{Backoff, max_pause};
+use backoff::{ReconnectBackoff, longest_wait};
 use client::Client;
 use endpoint_list::{EndpointList, EntryParser};
 use ottertiller_balancer::ListKind;
@@ -45,7 +45,7 @@
 /// Keeps the endpoint list up to date, and sends each change to the dispatcher.
 pub struct Discovery {
     client: Client,
-    backoff: Backoff,
+    backoff: ReconnectBackoff,
     parser: EntryParser,
     messages: mpsc::Sender<Message>,
     readiness: Readiness,
@@ -75,11 +75,11 @@
 impl Discovery {
     /// Discovery that has not been called yet; lists go to `messages`.
     pub fn new(options: Options, messages: mpsc::Sender<Message>) -> Self {
-        let max_pause = max_pause(options.drain_grace);
+        let longest_wait = longest_wait(options.drain_grace);
         Discovery {
-            client: Client::new(options.address, 2 * max_pause),
+            client: Client::new(options.address, 2 * longest_wait),
             // Not the balancer's own random numbers.
-            backoff: Backoff::new(max_pause, !options.seed),
+            backoff: ReconnectBackoff::new(longest_wait, !options.seed),
             parser: EntryParser::new(options.zone_names, options.machine_type_names),
             messages,
             readiness: Readiness::default(),
--- a/crates/node/src/discovery/watch.rs
+++ b/crates/node/src/discovery/watch.rs
@@ -16,23 +16,23 @@
             let opened = Instant::now();
             tokio::select! {
                 error = self.watch() => {
-                    let pause = self.backoff.next_pause(opened.elapsed());
+                    let wait = self.backoff.next_wait(opened.elapsed());
                     log(format_args!("endpoint list watch failed: {error}"));
-                    self.wait_to_watch_again(pause, &mut addresses).await;
+                    self.wait_to_watch_again(wait, &mut addresses).await;
                 }
                 address = next_address(&mut addresses) => self.move_to(address),
             }
         }
     }
 
-    /// Waits out a pause, unless discovery moves meanwhile.
+    /// Waits before the next watch, unless discovery moves meanwhile.
     async fn wait_to_watch_again(
         &mut self,
-        pause: Duration,
+        wait: Duration,
         addresses: &mut watch::Receiver<SocketAddr>,
     ) {
         tokio::select! {
-            () = sleep(pause) => {}
+            () = sleep(wait) => {}
             address = next_address(addresses) => self.move_to(address),
         }
     }
