--- a/crates/balancer/src/balancer/life_cycle.rs
+++ b/crates/balancer/src/balancer/life_cycle.rs
@@ -19,7 +19,7 @@
             class,
             idempotency: self.settings.classes[class].idempotency,
             relative_work,
-            priority: self.priorities.of(class, new.tenant, self.now),
+            priority: self.priorities.record_request(class, new.tenant, self.now),
             deadline,
             attempts: Vec::new(),
             health_checked: !self.settings.loads_are_polled(),
--- a/crates/balancer/src/numeric/token_bucket.rs
+++ b/crates/balancer/src/numeric/token_bucket.rs
@@ -1,33 +1,38 @@
 //! Token buckets.
 
-use std::time::Duration;
-
-/// A token bucket that is refilled at a rate and holds at most the tokens of one second.
+/// A number of tokens up to a capacity. Each use of what it limits takes a token.
 pub struct TokenBucket {
-    tokens_per_second: f64,
     tokens: f64,
-    updated: Duration,
+    capacity: f64,
 }
 
 impl TokenBucket {
-    /// An empty bucket.
-    pub fn new(tokens_per_second: f64) -> Self {
-        TokenBucket {
-            tokens_per_second,
-            tokens: 0.0,
-            updated: Duration::ZERO,
-        }
+    /// Returns a bucket with so many tokens in it.
+    pub fn new(tokens: f64, capacity: f64) -> Self {
+        TokenBucket { tokens, capacity }
     }
 
-    /// Takes a token if there is one.
-    pub fn take(&mut self, now: Duration) -> bool {
-        let refill = self.tokens_per_second * (now - self.updated).as_secs_f64();
-        self.tokens = (self.tokens + refill).min(self.tokens_per_second.max(1.0));
-        self.updated = now;
-        if self.tokens < 1.0 {
-            return false;
-        }
+    /// Adds tokens, up to the capacity.
+    pub fn refill(&mut self, tokens: f64) {
+        self.tokens = (self.tokens + tokens).min(self.capacity);
+    }
+
+    /// Returns whether it has so many tokens.
+    pub fn has(&self, tokens: f64) -> bool {
+        self.tokens >= tokens
+    }
+
+    /// Takes a token, whether or not there is a whole one.
+    pub fn take(&mut self) {
         self.tokens -= 1.0;
-        true
+    }
+
+    /// Takes a token and returns true if there is a whole one.
+    pub fn try_take(&mut self) -> bool {
+        let has_token = self.has(1.0);
+        if has_token {
+            self.take();
+        }
+        has_token
     }
 }
--- a/crates/balancer/src/priority.rs
+++ b/crates/balancer/src/priority.rs
@@ -1,37 +1,42 @@
-//! How much a request counts when some must be shed: its class's priority weight, less where its
+//! How much a request counts when some must be rejected: its class's priority weight, less where its
 //! tenant is over its quota (settings keys `Credit`, `Projects`, `OverShareWorth`).
 
 use crate::numeric::{SMOOTHING, TokenBucket, smooth};
 use crate::{Settings, Tenant};
 use std::time::Duration;
 
-/// A priority is at most so many times that of the mean request.
+/// The highest priority, as a multiple of the mean request's.
 const MAX_PRIORITY: f64 = 1e3;
+/// The least mean weight that priorities are relative to.
+const MIN_MEAN_WEIGHT: f64 = 1e-9;
 
 /// The priorities of requests, relative to the mean request.
 pub struct Priorities {
     class_weights: Vec<f64>,
     /// This node's part of each tenant's quota.
-    quotas: Vec<TokenBucket>,
+    quotas: Vec<Quota>,
     over_quota_weight: f64,
-    /// The goal's weights of the worst-served class and of the whole.
+    /// The objective's weight of the worst-served class.
     worst_class: f64,
+    /// The objective's weight of the whole time.
     whole: f64,
     mean_weight: f64,
 }
 
 impl Priorities {
-    /// Before the first request.
+    /// Returns the priorities before the first request.
     pub fn new(settings: &Settings) -> Self {
-        let nodes = f64::from(settings.node_count.max(1));
-        let quota = |tenant: &Tenant| TokenBucket::new(tenant.quota_per_s / nodes);
         let class_weights: Vec<f64> = settings
             .classes
             .iter()
             .map(|class| class.priority_weight)
             .collect();
         Priorities {
-            quotas: settings.tenants.iter().map(quota).collect(),
+            quotas: settings
+                .tenants
+                .iter()
+                .map(|tenant| Quota::new(tenant, settings.node_count))
+                .collect(),
             over_quota_weight: settings.over_quota_weight,
             worst_class: settings.objective_weights.worst_class,
             whole: settings.objective_weights.whole.max(SMOOTHING),
@@ -40,25 +45,52 @@
         }
     }
 
-    /// Takes in a new request and returns its priority. The goal's weight of the worst-served class
-    /// is spread evenly over all classes, since any may become the worst.
-    pub fn of(&mut self, class: usize, tenant: usize, now: Duration) -> f64 {
-        let class_weight = self.class_weights[class];
-        let weight = class_weight
-            * if self.is_over_quota(tenant, now) {
-                self.over_quota_weight
-            } else {
-                1.0
-            };
+    /// Records a new request and returns its priority.
+    ///
+    /// The objective's weight of the worst-served class is spread evenly over all classes, since any
+    /// may become the worst.
+    pub fn record_request(&mut self, class: usize, tenant: usize, now: Duration) -> f64 {
+        let factor = if self.is_over_quota(tenant, now) {
+            self.over_quota_weight
+        } else {
+            1.0
+        };
+        let weight = self.class_weights[class] * factor;
         smooth(&mut self.mean_weight, weight, SMOOTHING / 8.0);
         let even = self.mean_weight * self.worst_class / self.whole;
-        ((weight + even) / (self.mean_weight + even).max(1e-9)).clamp(0.0, MAX_PRIORITY)
+        let relative = (weight + even) / (self.mean_weight + even).max(MIN_MEAN_WEIGHT);
+        relative.clamp(0.0, MAX_PRIORITY)
     }
 
-    /// Counts a request against its tenant's quota.
+    /// Counts a request against its tenant's quota, and returns whether it is beyond it.
     fn is_over_quota(&mut self, tenant: usize, now: Duration) -> bool {
         self.quotas
             .get_mut(tenant)
-            .is_some_and(|quota| !quota.take(now))
+            .is_some_and(|quota| !quota.try_take(now))
+    }
+}
+
+/// One node's part of a tenant's quota: a rate of requests, with a burst of one second.
+struct Quota {
+    requests_per_second: f64,
+    tokens: TokenBucket,
+    updated: Duration,
+}
+
+impl Quota {
+    fn new(tenant: &Tenant, node_count: u32) -> Self {
+        let requests_per_second = tenant.quota_per_s / f64::from(node_count.max(1));
+        Quota {
+            requests_per_second,
+            tokens: TokenBucket::new(0.0, requests_per_second.max(1.0)),
+            updated: Duration::ZERO,
+        }
+    }
+
+    fn try_take(&mut self, now: Duration) -> bool {
+        let elapsed = (now - self.updated).as_secs_f64();
+        self.tokens.refill(self.requests_per_second * elapsed);
+        self.updated = now;
+        self.tokens.try_take()
     }
 }
--- a/crates/balancer/src/retry/budget.rs
+++ b/crates/balancer/src/retry/budget.rs
@@ -1,44 +1,45 @@
-//! The retry budget: further attempts stay a fixed share of requests, so that retries cannot
-//! multiply an overload (Google SRE book, "Handling Overload", per-client retry budget).
+//! The retry budget: further attempts stay a fixed share of requests, so that retries cannot multiply
+//! an overload (Google SRE book, "Handling Overload", per-client retry budget).
 
-/// Tokens that each request adds: further attempts as a share of requests.
+use crate::numeric::TokenBucket;
+
+/// The tokens that each request adds: further attempts as a share of requests.
 const TOKENS_PER_REQUEST: f64 = 0.4;
-/// What a node that has just started may spend before requests have paid for it.
+/// The tokens that a node starts with, before requests have added any.
 const INITIAL_TOKENS: f64 = 1.0 / TOKENS_PER_REQUEST;
-/// A quiet time is not saved up for a burst of retries.
+/// The most tokens: a quiet time is not saved up for a burst of retries.
 const MAX_TOKENS: f64 = 2.0 / TOKENS_PER_REQUEST;
 
-/// The tokens left for retries and hedged requests.
+/// The budget of a node for retries and hedged requests.
 pub struct RetryBudget {
-    tokens: f64,
+    tokens: TokenBucket,
 }
 
 impl RetryBudget {
-    /// The budget of a node that has just started.
+    /// Returns the budget of a node that has just started.
     pub fn new() -> Self {
         RetryBudget {
-            tokens: INITIAL_TOKENS,
+            tokens: TokenBucket::new(INITIAL_TOKENS, MAX_TOKENS),
         }
     }
 
-    /// A request has arrived.
+    /// Adds what a request that has arrived may spend.
     pub fn deposit(&mut self) {
-        self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
+        self.tokens.refill(TOKENS_PER_REQUEST);
     }
 
-    /// Whether a further attempt may start.
+    /// Returns whether a further attempt may start.
     pub fn allows_retry(&self) -> bool {
-        self.tokens >= 1.0
+        self.tokens.has(1.0)
     }
 
-    /// Whether one more attempt could follow the one that is about to start.
+    /// Returns whether one more attempt could follow the one that is about to start.
     pub fn allows_retry_after(&self, attempt_is_retry: bool) -> bool {
-        let needed = if attempt_is_retry { 2.0 } else { 1.0 };
-        self.tokens >= needed
+        self.tokens.has(if attempt_is_retry { 2.0 } else { 1.0 })
     }
 
-    /// A further attempt has started.
+    /// Spends what a further attempt costs.
     pub fn withdraw(&mut self) {
-        self.tokens -= 1.0;
+        self.tokens.take();
     }
 }
