--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -12,7 +12,7 @@
 use crate::estimates::{DeclaredWork, ResponseTimes};
 use crate::health::active_check::ActiveChecks;
 use crate::health::observation::Observation;
-use crate::health::outlier_ejection::OutlierDetector;
+use crate::health::outlier_ejection::{self, OutlierDetector};
 use crate::numeric::Random;
 use crate::priority::Priorities;
 use crate::requests::{Attempt, HeldRequests, PendingRequest};
@@ -258,9 +258,17 @@
     }
 
     fn record_health(&mut self, id: EndpointId, signal: HealthSignal) {
-        let subset_size = self.subset_size();
-        self.outliers
-            .record(&mut self.endpoints, id, signal, subset_size, self.now);
+        let nearby = 2 * self.subset_size();
+        let Some(endpoint) = self.endpoints.get_mut(id) else {
+            return;
+        };
+        let verdict = self.outliers.record(endpoint, signal);
+        if !outlier_ejection::allows_ejection(verdict, &self.endpoints, nearby) {
+            return;
+        }
+        if let Some(endpoint) = self.endpoints.get_mut(id) {
+            self.outliers.eject(endpoint, self.now);
+        }
     }
 
     /// How many of the ready endpoints this node uses.
--- a/crates/balancer/src/balancer/dispatch.rs
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -23,7 +23,7 @@
 
 /// The random draws of one decision.
 struct Draws {
-    /// Decides on admission and on trials of ejected endpoints.
+    /// Decides on admission and on probes of ejected endpoints.
     admission: f64,
     /// Picks among equals.
     pick: f64,
@@ -103,9 +103,9 @@
     ) -> Route {
         let loads = self.fresh_loads();
         let is_retry = request.was_attempted();
-        let may_be_trial =
-            !is_retry && outlier_ejection::allows_trial(request.idempotency, draws.admission);
-        let healthy = outlier_ejection::candidates(permitted, may_be_trial, self.now);
+        let may_probe =
+            !is_retry && outlier_ejection::may_probe(request.idempotency, draws.admission);
+        let healthy = outlier_ejection::candidates(permitted, may_probe, self.now);
         let admits = |e: &&Endpoint| {
             self.admission
                 .admits(e, &loads, request.priority, draws.admission)
--- a/crates/balancer/src/endpoints/health.rs
+++ b/crates/balancer/src/endpoints/health.rs
@@ -5,29 +5,29 @@
 use std::time::Duration;
 
 /// What an attempt or a health check says of an endpoint.
-#[derive(Clone, Copy, PartialEq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthSignal {
-    /// It answered in good time.
-    Answered,
-    /// It answered with no time to spare.
-    AnsweredLate,
-    /// It failed to answer.
+    /// It responded in good time.
+    Responded,
+    /// It responded with no time to spare.
+    RespondedLate,
+    /// It failed to respond.
     Failed,
     /// It cannot be reached from here at all.
     Unreachable,
 }
 
 impl HealthSignal {
-    /// How much of a failure it is, from 0 to 1.
+    /// Returns how much of a failure it is, from 0 to 1.
     pub fn failure(self) -> f64 {
         match self {
-            HealthSignal::Answered => 0.0,
-            HealthSignal::AnsweredLate => 0.5,
+            HealthSignal::Responded => 0.0,
+            HealthSignal::RespondedLate => 0.5,
             HealthSignal::Failed | HealthSignal::Unreachable => 1.0,
         }
     }
 
-    /// Its weight in the endpoint's failure rate.
+    /// Returns its weight in the endpoint's failure rate.
     fn weight(self) -> f64 {
         match self {
             HealthSignal::Unreachable => 1.0,
@@ -40,47 +40,47 @@
 #[derive(Clone, Copy, Default)]
 pub struct Health {
     failure_rate: f64,
-    /// Ejected until then; after that, on trial until it answers.
+    /// The end of its ejection. After that it is on probation until it responds.
     ejected_until: Option<Duration>,
-    /// Ejections in a row, halved by each answer.
+    /// Ejections in a row, halved by each response.
     ejections: u32,
 }
 
 impl Health {
-    /// The moving average of its failures, from 0 to 1.
+    /// Returns the moving average of its failures, from 0 to 1.
     pub fn failure_rate(&self) -> f64 {
         self.failure_rate
     }
 
-    /// Whether it is ejected or on trial.
-    pub fn is_ejected(&self) -> bool {
-        self.ejected_until.is_some()
+    /// Returns its ejections in a row, halved by each response.
+    pub fn ejections(&self) -> u32 {
+        self.ejections
     }
 
-    /// It answered.
-    pub fn restore(&mut self) {
-        self.ejected_until = None;
-        self.ejections /= 2;
+    /// Returns whether it is ejected or on probation.
+    pub fn is_ejected(&self) -> bool {
+        self.ejected_until.is_some()
     }
 
-    /// Whether its ejection has ended, and it is on trial until it answers.
-    pub fn is_on_trial(&self, now: Duration) -> bool {
+    /// Returns whether its ejection has ended, and it is on probation until it responds.
+    pub fn is_on_probation(&self, now: Duration) -> bool {
         self.ejected_until.is_some_and(|until| now >= until)
     }
 
-    /// Its ejections in a row, halved by each answer.
-    pub fn ejections(&self) -> u32 {
-        self.ejections
+    /// Takes a signal into its failure rate.
+    pub fn record(&mut self, signal: HealthSignal) {
+        smooth(&mut self.failure_rate, signal.failure(), signal.weight());
     }
 
-    /// Ejects it until then.
+    /// Ejects it.
     pub fn eject(&mut self, until: Duration) {
         self.ejected_until = Some(until);
         self.ejections += 1;
     }
 
-    /// Takes a signal into its failure rate.
-    pub fn record(&mut self, signal: HealthSignal) {
-        smooth(&mut self.failure_rate, signal.failure(), signal.weight());
+    /// Ends its ejection and its probation.
+    pub fn restore(&mut self) {
+        self.ejected_until = None;
+        self.ejections /= 2;
     }
 }
--- a/crates/balancer/src/health/observation.rs
+++ b/crates/balancer/src/health/observation.rs
@@ -46,8 +46,8 @@
     /// What it says of the endpoint's health, if anything.
     pub fn health(&self) -> Option<HealthSignal> {
         match self.outcome {
-            Outcome::Served if self.tight => Some(HealthSignal::AnsweredLate),
-            Outcome::Served => Some(HealthSignal::Answered),
+            Outcome::Served if self.tight => Some(HealthSignal::RespondedLate),
+            Outcome::Served => Some(HealthSignal::Responded),
             Outcome::ConnectFailed => Some(HealthSignal::Unreachable),
             Outcome::Error | Outcome::TimedOut | Outcome::Reset => Some(HealthSignal::Failed),
             _ if self.given_up_late => Some(HealthSignal::Failed),
