--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -15,7 +15,7 @@
 use crate::health::outlier_ejection::{self, OutlierDetector};
 use crate::numeric::Random;
 use crate::priority::Priorities;
-use crate::requests::{Attempt, HeldRequests, PendingRequest};
+use crate::requests::{Attempt, PendingRequest, QueuedRequests};
 use crate::retry::budget::RetryBudget;
 use crate::retry::client_retry::ClientRetries;
 use crate::retry::hedging::Hedging;
@@ -46,7 +46,7 @@
     start_times: StartTimes,
     outliers: OutlierDetector,
     active_checks: ActiveChecks,
-    held: HeldRequests,
+    queued: QueuedRequests,
     admission: Admission,
     priorities: Priorities,
     retry_budget: RetryBudget,
@@ -82,7 +82,7 @@
             start_times: StartTimes::new(&settings.rules),
             outliers: OutlierDetector::new(&settings),
             active_checks: ActiveChecks::new(&settings),
-            held: HeldRequests::default(),
+            queued: QueuedRequests::default(),
             admission: Admission::new(&settings),
             priorities: Priorities::new(&settings),
             retry_budget: RetryBudget::new(),
@@ -118,7 +118,7 @@
         TableSizes {
             endpoints: self.endpoints.len(),
             requests: self.requests.len(),
-            queued: self.held.ids().len(),
+            queued: self.queued.ids().len(),
         }
     }
 
@@ -174,7 +174,7 @@
 
     fn on_stream_started(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
-            request.streaming = true;
+            request.stage.start_streaming();
         }
     }
 
@@ -189,11 +189,10 @@
             self.join_up_to.record_send(endpoint);
         }
         if let Some(request) = self.requests.get_mut(&id) {
-            request.health_checked = true;
-            request.attempts.push(attempt);
+            request.add_attempt(attempt);
         }
         self.subset.record_send(self.now);
-        self.held.release(id);
+        self.queued.remove(id);
     }
 
     fn learn(&mut self, end: &AttemptEnd) {
@@ -237,9 +236,9 @@
             self.record_health(end.endpoint, HealthSignal::Unreachable);
         }
         let was_last = self.active_checks.record_end();
-        for id in self.held.ids().to_vec() {
+        for id in self.queued.ids().to_vec() {
             if was_last {
-                self.held.release(id);
+                self.queued.remove(id);
             }
             self.dispatch(id, actions);
         }
--- a/crates/balancer/src/balancer/dispatch.rs
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -31,7 +31,7 @@
 
 /// What to do with a request that waits for its first or a further attempt.
 enum Route {
-    /// Nothing: it is closed, held for health checks, or an attempt is in flight that may be
+    /// Nothing: it is closed, queued for health checks, or an attempt is in flight that may be
     /// served.
     Wait,
     /// No endpoint is permitted: none is listed, or all that are have just started and have no
@@ -74,10 +74,10 @@
         let Some(request) = self.requests.get(&id) else {
             return Route::Wait;
         };
-        if request.closed || !self.allows_parallel_attempt(request) {
+        if request.stage.is_closed() || !self.allows_parallel_attempt(request) {
             return Route::Wait;
         }
-        let is_retry = request.was_attempted();
+        let is_retry = request.has_attempts();
         if self.now >= request.deadline || is_retry && !self.retry_budget.allows_retry() {
             return Route::Answer;
         }
@@ -102,7 +102,7 @@
         draws: &Draws,
     ) -> Route {
         let loads = self.fresh_loads();
-        let is_retry = request.was_attempted();
+        let is_retry = request.has_attempts();
         let may_probe =
             !is_retry && outlier_ejection::may_probe(request.idempotency, draws.admission);
         let healthy = outlier_ejection::candidates(permitted, may_probe, self.now);
@@ -118,7 +118,7 @@
         {
             return Route::Send(endpoint);
         }
-        if self.held.contains(id) {
+        if self.queued.contains(id) {
             return Route::Wait;
         }
         let at_random = join_up_to::any(&preferred, draws.pick);
@@ -145,7 +145,7 @@
             self.response_times.median
         };
         let busy_share = self.join_up_to.busy_share();
-        !request.health_checked
+        request.stage.may_check_health()
             && self
                 .active_checks
                 .are_worth_it(request, busy_share, work_unit, self.now)
@@ -186,7 +186,7 @@
             .active_checks
             .start(unknown, &mut self.endpoints, &mut self.random, actions)
         {
-            self.held.hold(id);
+            self.queued.enqueue(id);
             let after = self.active_checks.max_hold(self.response_times.mean);
             actions.push(Action::SetTimer {
                 after,
@@ -211,7 +211,7 @@
         if !self.may_start_attempt(request, endpoint) {
             return self.answer(id, actions);
         }
-        let is_retry = request.was_attempted();
+        let is_retry = request.has_attempts();
         let plan = self.plan_attempt(request);
         if let Some(after) = plan.hedge_after {
             actions.push(Action::SetTimer {
@@ -239,7 +239,7 @@
 
     fn may_start_attempt(&self, request: &PendingRequest, endpoint: &Endpoint) -> bool {
         let max_attempts = self.settings.limits.max_attempts.max(1) as usize;
-        !request.closed
+        !request.stage.is_closed()
             && self.now < request.deadline
             && request.attempts.len() < max_attempts
             && self.allows_parallel_attempt(request)
@@ -249,9 +249,7 @@
     fn plan_attempt(&self, request: &PendingRequest) -> AttemptPlan {
         let timer_margin = 2 * self.settings.tick;
         let retryable_for = idempotency::retryable_for(request, self.now, timer_margin);
-        let budget_allows = self
-            .retry_budget
-            .allows_retry_after(request.was_attempted());
+        let budget_allows = self.retry_budget.allows_retry_after(request.has_attempts());
         self.hedging.plan(
             request,
             self.response_times.median,
--- a/crates/balancer/src/balancer/life_cycle.rs
+++ b/crates/balancer/src/balancer/life_cycle.rs
@@ -3,7 +3,7 @@
 
 use super::Balancer;
 use crate::admission;
-use crate::requests::PendingRequest;
+use crate::requests::{PendingRequest, RequestStage};
 use crate::retry::idempotency;
 use crate::{Action, AttemptEnd, NewRequest, RequestId, Timer};
 use std::time::Duration;
@@ -22,9 +22,7 @@
             priority: self.priorities.record_request(class, new.tenant, self.now),
             deadline,
             attempts: Vec::new(),
-            health_checked: !self.settings.loads_are_polled(),
-            streaming: false,
-            closed: false,
+            stage: self.first_stage(),
         };
         self.requests.insert(new.id, request);
         let time_left = deadline.saturating_sub(self.now);
@@ -38,6 +36,14 @@
         self.dispatch(new.id, actions);
     }
 
+    fn first_stage(&self) -> RequestStage {
+        if self.settings.loads_are_polled() {
+            RequestStage::before_health_checks()
+        } else {
+            RequestStage::routable()
+        }
+    }
+
     /// Until when a response is of use: up to the latency objective where late responses count for
     /// nothing. The client leaves at its deadline, and the timer comes a tick late at most.
     fn useful_until(&mut self, new: &NewRequest, class: usize) -> Duration {
@@ -61,9 +67,9 @@
         if self.now >= request.deadline {
             return self.answer(id, actions);
         }
-        // What was held for health checks, or for want of endpoints, has waited long enough.
-        request.health_checked = true;
-        self.held.release(id);
+        // What was queued for health checks, or for want of endpoints, has waited long enough.
+        request.stage.finish_health_checks();
+        self.queued.remove(id);
         self.dispatch(id, actions);
     }
 
@@ -77,7 +83,7 @@
         if attempt.outcome.replace(end.outcome).is_some() {
             return;
         }
-        let needs_no_answer = end.request_finished || request.closed;
+        let needs_no_answer = end.request_finished || request.stage.is_closed();
         let all_ended = request.in_flight() == 0;
         self.learn(&end);
         if needs_no_answer {
@@ -93,7 +99,7 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        if request.closed || request.streaming {
+        if request.stage.is_closed() || request.stage.is_streaming() {
             return;
         }
         if request.in_flight() > 0 && self.now < request.deadline {
@@ -111,16 +117,19 @@
     /// Nothing more is sent for a request. Its attempts in flight are cancelled, and it is kept
     /// until they end.
     pub(super) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        self.held.release(id);
+        self.queued.remove(id);
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        if !request.closed && !request.streaming && self.settings.limits.cancel {
+        if !request.stage.is_closed()
+            && !request.stage.is_streaming()
+            && self.settings.limits.cancel
+        {
             let attempts = request.attempts.iter().zip(0..);
             let in_flight = attempts.filter(|(attempt, _)| attempt.is_in_flight());
             actions.extend(in_flight.map(|(_, attempt)| Action::CancelAttempt { id, attempt }));
         }
-        request.closed = true;
+        request.stage.close();
         if request.in_flight() == 0 {
             self.requests.remove(&id);
         }
--- a/crates/balancer/src/requests/queued_requests.rs
+++ b/crates/balancer/src/requests/queued_requests.rs
@@ -1,30 +1,30 @@
-//! The requests that wait for health checks. `health/active_check.rs` decides which do.
+//! The requests that are queued until health checks end. `health/active_check.rs` decides which are.
 
 use crate::RequestId;
 
-/// In the order of arrival.
+/// Queued requests, in the order of arrival.
 #[derive(Default)]
-pub struct HeldRequests {
+pub struct QueuedRequests {
     ids: Vec<RequestId>,
 }
 
-impl HeldRequests {
-    /// Holds a request.
-    pub fn hold(&mut self, id: RequestId) {
+impl QueuedRequests {
+    /// Adds a request.
+    pub fn enqueue(&mut self, id: RequestId) {
         self.ids.push(id);
     }
 
-    /// Whether a request is held.
+    /// Returns whether a request is queued.
     pub fn contains(&self, id: RequestId) -> bool {
         self.ids.contains(&id)
     }
 
-    /// A request is held no longer.
-    pub fn release(&mut self, id: RequestId) {
-        self.ids.retain(|held| *held != id);
+    /// Removes a request, if it is queued.
+    pub fn remove(&mut self, id: RequestId) {
+        self.ids.retain(|queued| *queued != id);
     }
 
-    /// All of them.
+    /// Returns the ids of all queued requests.
     pub fn ids(&self) -> &[RequestId] {
         &self.ids
     }
