--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -8,10 +8,10 @@
 use crate::admission::Admission;
 use crate::endpoint_polling::EndpointPolling;
 use crate::endpoints::{Endpoint, EndpointSet, HealthSignal, ReportedLoad, reported_load};
-use crate::estimates::load_snapshot::FreshLoads;
+use crate::estimates::load_snapshot::LoadSnapshot;
 use crate::estimates::{DeclaredWork, ResponseTimes};
 use crate::health::active_check::ActiveChecks;
-use crate::health::observation::Observation;
+use crate::health::observation::{ClassContext, Observation};
 use crate::health::outlier_ejection::{self, OutlierDetector};
 use crate::numeric::Random;
 use crate::priority::Priorities;
@@ -202,9 +202,12 @@
         let Some(attempt) = request.attempts.get(end.attempt as usize) else {
             return;
         };
-        let class = &self.settings.classes[request.class];
-        let class_mean = self.response_times.class_mean(request.class);
-        let observation = Observation::new(request, attempt, end, class, class_mean, self.now);
+        let context = ClassContext {
+            class: &self.settings.classes[request.class],
+            mean_response_time: self.response_times.class_mean(request.class),
+        };
+        let observation = Observation::new(request, attempt, end, &context, self.now);
+        let load_level = attempt.load_level;
         let served = end.outcome == Outcome::Served;
         if served {
             self.response_times
@@ -222,7 +225,7 @@
             self.record_health(end.endpoint, signal);
         }
         if let Some(timeliness) = observation.timeliness() {
-            self.admission.record(timeliness, observation.load_level);
+            self.admission.record(timeliness, load_level);
         }
     }
 
@@ -274,16 +277,16 @@
     fn subset_size(&self) -> usize {
         self.subset.size(
             self.endpoints.ready_count(),
-            self.response_times.mean,
+            self.response_times.mean(),
             self.now,
         )
     }
 
     /// The loads of the endpoints as they are known now.
-    fn fresh_loads(&self) -> FreshLoads {
-        FreshLoads::new(
+    fn load_snapshot(&self) -> LoadSnapshot {
+        LoadSnapshot::new(
             self.settings.loads_are_polled(),
-            self.response_times.mean,
+            self.response_times.mean(),
             self.now,
         )
     }
--- a/crates/balancer/src/balancer/dispatch.rs
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -8,14 +8,13 @@
 use super::Balancer;
 use crate::admission::load_level;
 use crate::endpoints::Endpoint;
-use crate::estimates::load_snapshot::FreshLoads;
+use crate::estimates::load_snapshot::LoadSnapshot;
 use crate::health::outlier_ejection;
 use crate::requests::{Attempt, PendingRequest};
-use crate::retry::hedging::AttemptPlan;
+use crate::retry::hedging::{AttemptPlan, RetryAllowance};
 use crate::retry::idempotency;
 use crate::routing::join_up_to;
 use crate::{Action, EndpointId, EndpointState, RequestId, Timer};
-use std::time::Duration;
 
 /// The fraction of the mean response time after which a request without a permitted endpoint looks
 /// again.
@@ -101,7 +100,7 @@
         permitted: Vec<&Endpoint>,
         draws: &Draws,
     ) -> Route {
-        let loads = self.fresh_loads();
+        let loads = self.load_snapshot();
         let is_retry = request.has_attempts();
         let may_probe =
             !is_retry && outlier_ejection::may_probe(request.idempotency, draws.admission);
@@ -121,7 +120,7 @@
         if self.queued.contains(id) {
             return Route::Wait;
         }
-        let at_random = join_up_to::any(&preferred, draws.pick);
+        let at_random = join_up_to::pick_at_random(&preferred, draws.pick);
         if self.checks_are_worth_it(request) {
             let is_unknown = |e: &&&Endpoint| !e.check_in_flight && loads.reported(e).is_none();
             let unknown = healthy
@@ -138,17 +137,15 @@
     }
 
     fn checks_are_worth_it(&self, request: &PendingRequest) -> bool {
-        let declared = self.declared_work.mean;
-        let work_unit = if declared > 0.0 {
-            declared
-        } else {
-            self.response_times.median
-        };
+        let mean_work = self
+            .declared_work
+            .mean()
+            .unwrap_or(self.response_times.median());
         let busy_share = self.join_up_to.busy_share();
         request.stage.may_check_health()
             && self
                 .active_checks
-                .are_worth_it(request, busy_share, work_unit, self.now)
+                .are_worth_it(request, busy_share, mean_work, self.now)
     }
 
     /// The rules, which nothing relaxes: an endpoint that is ready, has warmed up or has a permit,
@@ -164,11 +161,11 @@
 
     fn allows_parallel_attempt(&self, request: &PendingRequest) -> bool {
         self.hedging
-            .allows_attempt(request, self.response_times.median, self.now)
+            .allows_attempt(request, self.response_times.median(), self.now)
     }
 
     fn wait_for_endpoint(&self, id: RequestId, actions: &mut Vec<Action>) {
-        let wait = Duration::from_secs_f64(self.response_times.mean * WAIT_IN_RESPONSES);
+        let wait = (self.response_times.mean() * WAIT_IN_RESPONSES).to_duration();
         actions.push(Action::SetTimer {
             after: wait.max(self.settings.tick),
             timer: Timer::Request(id),
@@ -187,7 +184,9 @@
             .start(unknown, &mut self.endpoints, &mut self.random, actions)
         {
             self.queued.enqueue(id);
-            let after = self.active_checks.max_hold(self.response_times.mean);
+            let after = self
+                .active_checks
+                .max_queue_time(self.response_times.mean());
             actions.push(Action::SetTimer {
                 after,
                 timer: Timer::Request(id),
@@ -223,7 +222,7 @@
             endpoint: endpoint.entry,
             started: self.now,
             expires: self.now + plan.timeout,
-            load_level: load_level(self.fresh_loads().estimate(endpoint)),
+            load_level: load_level(self.load_snapshot().estimate(endpoint)),
             outcome: None,
         };
         actions.push(Action::StartAttempt {
@@ -248,20 +247,17 @@
 
     fn plan_attempt(&self, request: &PendingRequest) -> AttemptPlan {
         let timer_margin = 2 * self.settings.tick;
-        let retryable_for = idempotency::retryable_for(request, self.now, timer_margin);
-        let budget_allows = self.retry_budget.allows_retry_after(request.has_attempts());
-        self.hedging.plan(
-            request,
-            self.response_times.median,
-            retryable_for,
-            budget_allows,
-            self.now,
-        )
+        let allowance = RetryAllowance {
+            retryable_for: idempotency::retryable_for(request, self.now, timer_margin),
+            budget_allows: self.retry_budget.allows_retry_after(request.has_attempts()),
+        };
+        let median = self.response_times.median();
+        self.hedging.plan(request, median, &allowance, self.now)
     }
 }
 
 /// The endpoints whose load is not above the average of them all.
-fn up_to_average<'a>(among: Vec<&'a Endpoint>, loads: &FreshLoads) -> Vec<&'a Endpoint> {
+fn up_to_average<'a>(among: Vec<&'a Endpoint>, loads: &LoadSnapshot) -> Vec<&'a Endpoint> {
     const ROUNDING: f64 = 1e-9;
     let estimates: Vec<f64> = among
         .iter()
--- a/crates/balancer/src/balancer/life_cycle.rs
+++ b/crates/balancer/src/balancer/life_cycle.rs
@@ -26,7 +26,8 @@
         };
         self.requests.insert(new.id, request);
         let time_left = deadline.saturating_sub(self.now);
-        if admission::is_hopeless(new.cost_hint, time_left, self.join_up_to.busy_share()) {
+        if admission::cannot_finish_in_time(new.cost_hint, time_left, self.join_up_to.busy_share())
+        {
             return self.answer(new.id, actions);
         }
         actions.push(Action::SetTimer {
--- a/crates/balancer/src/estimates/declared_work.rs
+++ b/crates/balancer/src/estimates/declared_work.rs
@@ -1,29 +1,33 @@
 //! The work that requests declare in their cost hints.
 
-use crate::numeric::{SMOOTHING, smooth};
+use crate::numeric::{SMOOTHING, Seconds};
 use std::time::Duration;
 
-/// The mean of the work that requests declare, in seconds; zero before the first.
+/// The mean of the work that requests declare.
 #[derive(Default)]
 pub struct DeclaredWork {
-    /// In seconds.
-    pub mean: f64,
+    mean: Seconds,
 }
 
 impl DeclaredWork {
-    /// Takes in a request's declared work and returns it as a multiple of the mean; 1 where there
-    /// is none.
+    /// Returns the mean declared work; `None` before the first request that declares any.
+    pub fn mean(&self) -> Option<Seconds> {
+        (self.mean > Seconds::ZERO).then_some(self.mean)
+    }
+
+    /// Records a request's declared work and returns it as a multiple of the mean; 1 for a request
+    /// that declares none.
     pub fn record(&mut self, declared: Option<Duration>) -> f64 {
-        let work = declared.unwrap_or_default().as_secs_f64();
-        if work <= 0.0 {
+        let work = Seconds::from(declared.unwrap_or_default());
+        if work <= Seconds::ZERO {
             return 1.0;
         }
-        let weight = if self.mean == 0.0 {
+        let weight = if self.mean == Seconds::ZERO {
             1.0
         } else {
             SMOOTHING / 8.0
         };
-        smooth(&mut self.mean, work, weight);
+        self.mean.smooth(work, weight);
         work / self.mean
     }
 }
--- a/crates/balancer/src/estimates/endpoint_share.rs
+++ b/crates/balancer/src/estimates/endpoint_share.rs
@@ -1,24 +1,28 @@
 //! The work that a warm endpoint serves for this node.
 
 use crate::Settings;
-use crate::numeric::DecayingRate;
+use crate::numeric::{DecayingRate, Seconds};
 use std::time::Duration;
 
-/// The work per second that a warm endpoint serves for this node.
+/// The least time over which the peak is forgotten.
+const MIN_PEAK_WINDOW: Seconds = Seconds::new(1e-3);
+
+/// The work per second that a warm endpoint serves for this node, in multiples of a mean request's.
 pub struct EndpointShare {
     /// When this node started.
     started: Duration,
-    /// Work that arrived, and work that warm endpoints served.
+    /// Work that arrived.
     arrived: DecayingRate,
+    /// Work that warm endpoints served.
     served: DecayingRate,
     /// The most that one has served, forgotten over the slow start window.
     peak: f64,
     peak_updated: Duration,
-    window: f64,
+    peak_window: Seconds,
 }
 
 impl EndpointShare {
-    /// Nothing served yet.
+    /// Returns a share of zero.
     pub fn new(settings: &Settings) -> Self {
         let rate_window = settings.rate_window();
         EndpointShare {
@@ -27,28 +31,28 @@
             served: DecayingRate::new(rate_window),
             peak: 0.0,
             peak_updated: Duration::ZERO,
-            window: settings.rules.slow_start_window.as_secs_f64().max(1e-3),
+            peak_window: Seconds::from(settings.rules.slow_start_window).max(MIN_PEAK_WINDOW),
         }
     }
 
-    /// This node has started.
+    /// Records that this node has started.
     pub fn start(&mut self, now: Duration) {
         self.started = now;
         self.peak_updated = now;
     }
 
-    /// Work has arrived.
+    /// Records work that has arrived.
     pub fn record_arrival(&mut self, work: f64, now: Duration) {
         self.arrived.add(now, work);
     }
 
-    /// A warm endpoint has served work.
+    /// Records work that a warm endpoint has served.
     pub fn record_served(&mut self, work: f64, now: Duration) {
         self.served.add(now, work);
     }
 
-    /// What a warm endpoint can serve does not fall with what is served in an overload: the peak
-    /// counts.
+    /// Returns the peak of the share. What a warm endpoint can serve does not fall with what is
+    /// served in an overload.
     pub fn peak(&self) -> f64 {
         self.peak
     }
@@ -56,13 +60,14 @@
     /// Updates the peak, with so many warm endpoints among the `sharing` endpoints that this node
     /// uses.
     pub fn update(&mut self, warm: usize, sharing: usize, now: Duration) {
-        let fading = (now - self.peak_updated).as_secs_f64() / self.window;
-        self.peak = (self.peak * (-fading).exp()).max(self.present(warm, sharing, now));
+        let windows = Seconds::from(now - self.peak_updated) / self.peak_window;
+        let remaining = self.peak * (-windows).exp();
+        self.peak = remaining.max(self.current(warm, sharing, now));
         self.peak_updated = now;
     }
 
-    /// The present share; if no endpoint is warm, an even share of what arrives.
-    fn present(&self, warm: usize, sharing: usize, now: Duration) -> f64 {
+    /// Returns the present share; if no endpoint is warm, an even share of what arrives.
+    fn current(&self, warm: usize, sharing: usize, now: Duration) -> f64 {
         if warm > 0 {
             return self.served.per_second_since(self.started, now) / warm as f64;
         }
--- a/crates/balancer/src/estimates/response_times.rs
+++ b/crates/balancer/src/estimates/response_times.rs
@@ -1,48 +1,58 @@
 //! Estimates of response times.
 
 use crate::Settings;
-use crate::numeric::{SMOOTHING, smooth};
+use crate::numeric::{SMOOTHING, Seconds};
 use std::time::Duration;
 
-/// Response times, in seconds.
+/// Moving averages of the times in which endpoints serve requests.
 pub struct ResponseTimes {
-    /// Over all classes.
-    pub mean: f64,
-    /// Of a request of mean work.
-    pub median: f64,
-    by_class: Vec<f64>,
+    mean: Seconds,
+    median: Seconds,
+    mean_by_class: Vec<Seconds>,
 }
 
 impl ResponseTimes {
-    /// Before any response: about half of the latency objectives.
+    /// Returns the estimates before any response: about half of the latency objectives.
     pub fn new(settings: &Settings) -> Self {
-        let objectives = settings.classes.iter().map(|class| class.latency_objective);
-        let shortest = objectives.clone().min().unwrap_or_default().as_secs_f64();
+        let objectives: Vec<Duration> = settings
+            .classes
+            .iter()
+            .map(|class| class.latency_objective)
+            .collect();
+        let shortest = objectives.iter().min().copied().unwrap_or_default();
         ResponseTimes {
-            mean: shortest / 2.0,
-            median: shortest / 4.0,
-            by_class: objectives
-                .map(|objective| objective.as_secs_f64() / 2.0)
+            mean: Seconds::from(shortest) / 2.0,
+            median: Seconds::from(shortest) / 4.0,
+            mean_by_class: objectives
+                .into_iter()
+                .map(|objective| Seconds::from(objective) / 2.0)
                 .collect(),
         }
     }
 
-    /// The mean time of this class's responses.
-    pub fn class_mean(&self, class: usize) -> f64 {
-        self.by_class[class]
+    /// Returns the mean response time over all classes.
+    pub fn mean(&self) -> Seconds {
+        self.mean
     }
 
-    /// A request of this class and relative work was served in this time.
-    pub fn record(&mut self, class: usize, work: f64, elapsed: Duration) {
-        let elapsed = elapsed.as_secs_f64();
-        smooth(&mut self.by_class[class], elapsed, SMOOTHING / 4.0);
-        smooth(&mut self.mean, elapsed, SMOOTHING / 4.0);
+    /// Returns the median response time of requests of mean work.
+    pub fn median(&self) -> Seconds {
+        self.median
+    }
+
+    /// Returns the mean response time of a class, by its index in the settings.
+    pub fn class_mean(&self, class: usize) -> Seconds {
+        self.mean_by_class[class]
+    }
+
+    /// Records that a request of this class and relative work was served in this time.
+    pub fn record(&mut self, class: usize, relative_work: f64, elapsed: Duration) {
+        let elapsed = Seconds::from(elapsed);
+        self.mean_by_class[class].smooth(elapsed, SMOOTHING / 4.0);
+        self.mean.smooth(elapsed, SMOOTHING / 4.0);
         // A stochastic median: one step up or down, whichever side of it the response fell.
-        let step = if elapsed > self.median * work.max(1.0) {
-            SMOOTHING
-        } else {
-            -SMOOTHING
-        };
-        self.median *= 1.0 + step / 4.0;
+        let is_above = elapsed > self.median * relative_work.max(1.0);
+        let step = if is_above { SMOOTHING } else { -SMOOTHING };
+        self.median = self.median * (1.0 + step / 4.0);
     }
 }
--- a/crates/balancer/src/health/active_check.rs
+++ b/crates/balancer/src/health/active_check.rs
@@ -1,9 +1,8 @@
 //! Active health checks that ask endpoints for their load (settings keys `LoadReport.Via: pull` and
-//! `Permissions.Probes`): which requests are worth them, and which are held until they are
-//! answered.
+//! `Permissions.Probes`): which requests are worth them, and how long a request is queued for them.
 
 use crate::endpoints::EndpointSet;
-use crate::numeric::{Random, SMOOTHING};
+use crate::numeric::{Random, SMOOTHING, Seconds};
 use crate::requests::PendingRequest;
 use crate::{Action, EndpointId, Settings};
 use std::time::Duration;
@@ -11,9 +10,13 @@
 /// The health checks for one request: the better of two random endpoints is nearly as good as the
 /// best of all.
 const CHECKS_PER_REQUEST: u32 = 2;
-/// The fraction of the mean response time that a request is held for them: an endpoint that answers
-/// a health check later is no place to send to.
-const MAX_HOLD_IN_RESPONSES: f64 = 1.0 / 16.0;
+/// How long a request is queued for health checks, as a fraction of the mean response time. An
+/// endpoint that takes longer over a health check is a poor choice.
+const MAX_QUEUE_TIME_IN_RESPONSES: f64 = 1.0 / 16.0;
+/// The least time for which a request is queued, in ticks.
+const MIN_QUEUE_TICKS: u32 = 4;
+/// The least time left that the work of a request is compared with.
+const MIN_TIME_LEFT: Seconds = Seconds::new(1e-6);
 
 /// The health checks in flight, and what decides on further ones.
 pub struct ActiveChecks {
@@ -25,7 +28,7 @@
 }
 
 impl ActiveChecks {
-    /// No health check in flight.
+    /// Returns a state with no health check in flight.
     pub fn new(settings: &Settings) -> Self {
         ActiveChecks {
             price: settings.cost_weights.health_check,
@@ -35,34 +38,38 @@
         }
     }
 
-    /// Whether health checks for a request save more than they cost, both in units of the mean
-    /// request. Sent without them, it meets a busy endpoint as often as there are such, and is late
-    /// the likelier for it the more of its time its own work takes. Health checks spare it that, or
-    /// half of it where all the endpoints asked are busy. `work_unit` is the mean work of a
-    /// request, in seconds.
+    /// Returns whether health checks for a request save more than they cost, both in units of the
+    /// mean request.
+    ///
+    /// Sent without them, a request meets a busy endpoint as often as there are such, and is late the
+    /// likelier for it the more of its time its own work takes. Health checks avoid that, or half of
+    /// it where all the endpoints asked are busy. `mean_work` is the mean work of a request.
     pub fn are_worth_it(
         &self,
         request: &PendingRequest,
         busy_share: f64,
-        work_unit: f64,
+        mean_work: Seconds,
         now: Duration,
     ) -> bool {
         let busy = busy_share.max(SMOOTHING);
-        let work = request.relative_work * work_unit;
-        let time_left = request.deadline.saturating_sub(now).as_secs_f64().max(1e-6);
-        let stake = request.priority
-            * if self.weight_by_work {
-                request.relative_work
-            } else {
-                1.0
-            };
-        let spared = 1.0 - busy.powi(CHECKS_PER_REQUEST as i32) / 2.0;
-        let saved = stake * busy * (work / time_left).min(1.0) * spared;
+        let work = mean_work * request.relative_work;
+        let time_left = Seconds::from(request.deadline.saturating_sub(now)).max(MIN_TIME_LEFT);
+        let late_if_busy = (work / time_left).min(1.0);
+        let avoided = 1.0 - busy.powi(CHECKS_PER_REQUEST as i32) / 2.0;
+        let saved = self.weight(request) * busy * late_if_busy * avoided;
         saved >= f64::from(CHECKS_PER_REQUEST) * self.price
     }
 
-    /// Sends health checks to some of the targets. Returns whether any health check is in flight
-    /// now.
+    /// Returns what a request counts for, in units of the mean request.
+    fn weight(&self, request: &PendingRequest) -> f64 {
+        if self.weight_by_work {
+            request.priority * request.relative_work
+        } else {
+            request.priority
+        }
+    }
+
+    /// Sends health checks to some of the targets. Returns whether any health check is in flight now.
     pub fn start(
         &mut self,
         mut targets: Vec<EndpointId>,
@@ -85,12 +92,13 @@
         self.in_flight > 0
     }
 
-    /// How long a held request waits for health checks.
-    pub fn max_hold(&self, mean_response_time: f64) -> Duration {
-        Duration::from_secs_f64(mean_response_time * MAX_HOLD_IN_RESPONSES).max(4 * self.tick)
+    /// Returns how long a request is queued for health checks.
+    pub fn max_queue_time(&self, mean_response_time: Seconds) -> Duration {
+        let queue_time = mean_response_time * MAX_QUEUE_TIME_IN_RESPONSES;
+        queue_time.to_duration().max(MIN_QUEUE_TICKS * self.tick)
     }
 
-    /// A health check has ended. Returns whether it was the last one.
+    /// Records the end of a health check. Returns whether it was the last one in flight.
     pub fn record_end(&mut self) -> bool {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.in_flight == 0
--- a/crates/balancer/src/health/observation.rs
+++ b/crates/balancer/src/health/observation.rs
@@ -1,81 +1,91 @@
-//! What the end of an attempt says of the endpoint: whether it is healthy, and whether it answers
-//! in time.
+//! What the end of an attempt says of its endpoint: whether it is healthy, and whether it responds in
+//! time.
 
 use crate::endpoints::HealthSignal;
+use crate::numeric::Seconds;
 use crate::requests::{Attempt, PendingRequest};
 use crate::{AttemptEnd, Outcome, RequestClass};
 use std::time::Duration;
 
-/// Whether an endpoint answers in time at a load.
-#[derive(Clone, Copy, PartialEq)]
+/// Whether an endpoint responds in time at a load.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timeliness {
+    /// It does.
     InTime,
+    /// It does not.
     Late,
 }
 
-/// What the end of an attempt says of the endpoint.
+/// The class of a request and the response times seen in it.
+pub struct ClassContext<'a> {
+    /// The class, as the settings have it.
+    pub class: &'a RequestClass,
+    /// The mean response time of the class.
+    pub mean_response_time: Seconds,
+}
+
+/// What the end of an attempt says of its endpoint.
 pub struct Observation {
     outcome: Outcome,
-    /// The estimated load of the endpoint when the attempt started.
-    pub load_level: usize,
-    /// It took as long as a usual response, and was given up.
-    given_up_late: bool,
-    /// It answered with no time to spare for the client.
-    tight: bool,
+    /// Whether the attempt was abandoned after the time of a usual response.
+    abandoned_overdue: bool,
+    /// Whether the response came with hardly any time left for the client.
+    near_deadline: bool,
 }
 
 impl Observation {
-    /// What an attempt's end says; `class_mean` is the mean response time of its class, in seconds.
+    /// Returns what the end of an attempt, seen at `now`, says of its endpoint.
     pub fn new(
         request: &PendingRequest,
         attempt: &Attempt,
         end: &AttemptEnd,
-        class: &RequestClass,
-        class_mean: f64,
+        context: &ClassContext,
         now: Duration,
     ) -> Self {
-        let given_up = matches!(end.outcome, Outcome::TimedOut | Outcome::Cancelled);
+        let was_abandoned = matches!(end.outcome, Outcome::TimedOut | Outcome::Cancelled);
+        let usual = context.mean_response_time;
         Observation {
             outcome: end.outcome,
-            load_level: attempt.load_level,
-            given_up_late: given_up && is_overdue(attempt, end, class_mean, now),
-            tight: is_tight(request, attempt, end, class),
+            abandoned_overdue: was_abandoned && is_overdue(attempt, end, usual, now),
+            near_deadline: is_near_deadline(request, attempt, end, context.class),
         }
     }
 
-    /// What it says of the endpoint's health, if anything.
+    /// Returns what it says of the endpoint's health, if anything.
     pub fn health(&self) -> Option<HealthSignal> {
         match self.outcome {
-            Outcome::Served if self.tight => Some(HealthSignal::RespondedLate),
+            Outcome::Served if self.near_deadline => Some(HealthSignal::RespondedLate),
             Outcome::Served => Some(HealthSignal::Responded),
             Outcome::ConnectFailed => Some(HealthSignal::Unreachable),
             Outcome::Error | Outcome::TimedOut | Outcome::Reset => Some(HealthSignal::Failed),
-            _ if self.given_up_late => Some(HealthSignal::Failed),
+            _ if self.abandoned_overdue => Some(HealthSignal::Failed),
             _ => None,
         }
     }
 
-    /// Whether the endpoint answers in time at that load, if this says so.
+    /// Returns whether the endpoint responds in time at the load that it had, if this says so.
     pub fn timeliness(&self) -> Option<Timeliness> {
         match self.outcome {
-            Outcome::Served if !self.tight => Some(Timeliness::InTime),
+            Outcome::Served if !self.near_deadline => Some(Timeliness::InTime),
             Outcome::Served | Outcome::Rejected => Some(Timeliness::Late),
-            _ if self.given_up_late => Some(Timeliness::Late),
+            _ if self.abandoned_overdue => Some(Timeliness::Late),
             _ => None,
         }
     }
 }
 
-/// Whether an attempt took as long as a usual response of its class, and was seen to end when it
-/// expired. An end seen long after that says that this node paused, not that the endpoint is slow.
-fn is_overdue(attempt: &Attempt, end: &AttemptEnd, class_mean: f64, now: Duration) -> bool {
-    let seen_late_by = now.as_secs_f64() - attempt.expires.as_secs_f64();
-    (0.0..class_mean / 4.0).contains(&seen_late_by) && end.elapsed.as_secs_f64() >= class_mean
+/// Returns whether an attempt took as long as a usual response of its class, and was seen to end when
+/// it expired. An end that is seen long after that says that this node paused, not that the endpoint
+/// is slow.
+fn is_overdue(attempt: &Attempt, end: &AttemptEnd, usual: Seconds, now: Duration) -> bool {
+    let seen_late_by = Seconds::from(now) - Seconds::from(attempt.expires);
+    let was_seen_in_time = (Seconds::ZERO..usual / 4.0).contains(&seen_late_by);
+    was_seen_in_time && Seconds::from(end.elapsed) >= usual
 }
 
-/// Whether an attempt took more than three quarters of its time, or well past its objective where
-/// late responses count as well.
-fn is_tight(
+/// Returns whether an attempt took more than three quarters of its time: the latency objective, or
+/// what the client had left of it. Where late responses count as well, it may take five quarters.
+fn is_near_deadline(
     request: &PendingRequest,
     attempt: &Attempt,
     end: &AttemptEnd,
--- a/crates/balancer/src/numeric/decaying_rate.rs
+++ b/crates/balancer/src/numeric/decaying_rate.rs
@@ -1,18 +1,19 @@
 //! Rates that are forgotten exponentially.
 
 use super::moving_average::SMOOTHING;
+use super::seconds::Seconds;
 use std::time::Duration;
 
-/// The amount per second of something, forgotten exponentially over a window in seconds.
+/// The amount per second of something, forgotten exponentially over a window.
 pub struct DecayingRate {
-    window: f64,
+    window: Seconds,
     sum: f64,
     updated: Duration,
 }
 
 impl DecayingRate {
-    /// Nothing yet, over a window in seconds.
-    pub fn new(window: f64) -> Self {
+    /// Returns a rate of zero.
+    pub fn new(window: Seconds) -> Self {
         DecayingRate {
             window,
             sum: 0.0,
@@ -22,19 +23,19 @@
 
     /// Counts an amount.
     pub fn add(&mut self, now: Duration, amount: f64) {
-        self.sum = self.per_second(now) * self.window + amount;
+        self.sum = self.per_second(now) * self.window.as_f64() + amount;
         self.updated = now;
     }
 
-    /// The rate at this time.
+    /// Returns the rate at this time.
     pub fn per_second(&self, now: Duration) -> f64 {
-        let age = (now - self.updated).as_secs_f64();
-        self.sum * (-age / self.window).exp() / self.window
+        let age = Seconds::from(now - self.updated);
+        self.sum * (-(age / self.window)).exp() / self.window.as_f64()
     }
 
-    /// The rate of what began only at `start`, when the window has seen but a part of its time.
+    /// Returns the rate of what began at `start`, of which the window may have seen only a part.
     pub fn per_second_since(&self, start: Duration, now: Duration) -> f64 {
-        let age = (now - start).as_secs_f64() / self.window;
-        self.per_second(now) / (1.0 - (-age).exp()).max(SMOOTHING)
+        let windows = Seconds::from(now - start) / self.window;
+        self.per_second(now) / (1.0 - (-windows).exp()).max(SMOOTHING)
     }
 }
--- a/crates/balancer/src/retry/client_retry.rs
+++ b/crates/balancer/src/retry/client_retry.rs
@@ -22,7 +22,7 @@
 }
 
 impl ClientRetries {
-    /// Nothing seen yet.
+    /// Returns a state that has seen no request.
     pub fn new(settings: &Settings) -> Self {
         ClientRetries {
             deadlines: settings
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Takes in a new request and estimates how long its client has waited already.
+    /// Records a new request and returns how long its client is likely to have waited already.
     pub fn time_spent(&mut self, request: &NewRequest, class: usize) -> Duration {
         let deadline = self.deadlines[class];
         if !request.client_retry {
--- a/crates/balancer/src/retry/hedging.rs
+++ b/crates/balancer/src/retry/hedging.rs
@@ -3,13 +3,14 @@
 //! `ParallelTries`), the first is given up for the next instead.
 
 use crate::Settings;
+use crate::numeric::Seconds;
 use crate::requests::PendingRequest;
 use std::time::Duration;
 
 /// An attempt is silent after this multiple of the median response time: for exponential response
 /// times one in sixteen is.
 const SILENT_AFTER_MEDIANS: f64 = 4.0;
-/// The timer of a hedged request is in time even if it comes this part of the wait too early.
+/// The part of the delay after which the timer of a hedged request counts as expired.
 const TIMER_TOLERANCE: f64 = 0.99;
 /// The most attempts of a request in flight at once.
 const MAX_PARALLEL: usize = 2;
@@ -20,10 +21,18 @@
 pub struct AttemptPlan {
     /// When to give the attempt up.
     pub timeout: Duration,
-    /// When to start a hedged one beside it, if at all.
+    /// When to start a hedged request beside it, if at all.
     pub hedge_after: Option<Duration>,
 }
 
+/// What allows an attempt to be followed by another one.
+pub struct RetryAllowance {
+    /// How long the request may be sent again once this attempt may have run.
+    pub retryable_for: Duration,
+    /// Whether the retry budget has room for one more attempt.
+    pub budget_allows: bool,
+}
+
 /// When attempts of a request may follow each other.
 pub struct Hedging {
     parallel_attempts: bool,
@@ -31,7 +40,7 @@
 }
 
 impl Hedging {
-    /// As the site permits.
+    /// Returns what the settings permit.
     pub fn new(settings: &Settings) -> Self {
         Hedging {
             parallel_attempts: settings.limits.parallel_attempts,
@@ -39,38 +48,39 @@
         }
     }
 
-    /// How long an attempt may be silent before a hedged one follows, by the median response time
-    /// in seconds.
-    fn hedge_delay(&self, request: &PendingRequest, median: f64) -> Duration {
+    /// Returns how long an attempt may be silent before a hedged request follows, by the median
+    /// response time.
+    fn hedge_delay(&self, request: &PendingRequest, median: Seconds) -> Duration {
         let work = request.relative_work.clamp(1.0, MAX_RELATIVE_WORK);
-        Duration::from_secs_f64(SILENT_AFTER_MEDIANS * median * work).max(2 * self.tick)
+        let delay = median * SILENT_AFTER_MEDIANS * work;
+        delay.to_duration().max(2 * self.tick)
     }
 
-    /// Whether an attempt may start now, beside those in flight.
-    pub fn allows_attempt(&self, request: &PendingRequest, median: f64, now: Duration) -> bool {
+    /// Returns whether an attempt may start now, beside those in flight.
+    pub fn allows_attempt(&self, request: &PendingRequest, median: Seconds, now: Duration) -> bool {
         let Some(last) = request.last_in_flight() else {
             return true;
         };
-        let silent_at = last.started + self.hedge_delay(request, median).mul_f64(TIMER_TOLERANCE);
-        self.parallel_attempts && request.in_flight() < MAX_PARALLEL && now >= silent_at
+        let delay = self.hedge_delay(request, median);
+        let is_silent = now >= last.started + delay.mul_f64(TIMER_TOLERANCE);
+        self.parallel_attempts && request.in_flight() < MAX_PARALLEL && is_silent
     }
 
-    /// Keeps time for one more attempt where there may be one. Where only one may be in flight, the
-    /// endpoint mostly goes on working on an attempt given up, so that is put off until the next
-    /// has just its time. `retryable_for` is how long the request may be sent again once this
-    /// attempt may have run.
+    /// Plans an attempt that starts now, and keeps time for one more where there may be one.
+    ///
+    /// Where only one attempt may be in flight, the endpoint mostly goes on working on one that was
+    /// given up, so that is put off until the next has just its time.
     pub fn plan(
         &self,
         request: &PendingRequest,
-        median: f64,
-        retryable_for: Duration,
-        budget_allows: bool,
+        median: Seconds,
+        allowance: &RetryAllowance,
         now: Duration,
     ) -> AttemptPlan {
         let time_left = request.deadline - now;
-        let hedge_delay = self.hedge_delay(request, median);
-        let has_time = retryable_for > hedge_delay && time_left > hedge_delay * 5 / 4;
-        if !(has_time && budget_allows) {
+        let delay = self.hedge_delay(request, median);
+        let has_time = allowance.retryable_for > delay && time_left > delay * 5 / 4;
+        if !(has_time && allowance.budget_allows) {
             return AttemptPlan {
                 timeout: time_left,
                 hedge_after: None,
@@ -79,12 +89,12 @@
         if self.parallel_attempts {
             return AttemptPlan {
                 timeout: time_left,
-                hedge_after: Some(hedge_delay),
+                hedge_after: Some(delay),
             };
         }
-        let timeout = hedge_delay.max(time_left - hedge_delay).min(retryable_for);
+        let latest_end = delay.max(time_left - delay);
         AttemptPlan {
-            timeout,
+            timeout: latest_end.min(allowance.retryable_for),
             hedge_after: None,
         }
     }
--- a/crates/balancer/src/retry/idempotency.rs
+++ b/crates/balancer/src/retry/idempotency.rs
@@ -6,7 +6,7 @@
 use crate::{EndpointEntry, Idempotency, Scope};
 use std::time::Duration;
 
-/// Whether the request may be sent to this endpoint, given the attempts that may have run.
+/// Returns whether the request may be sent to this endpoint, given the attempts that may have run.
 pub fn allows_attempt(request: &PendingRequest, endpoint: &EndpointEntry, now: Duration) -> bool {
     let Some(first) = request.first_that_may_have_run() else {
         return true;
@@ -28,7 +28,7 @@
     }
 }
 
-/// How long the request may still be sent again once the next attempt may have run, with `margin`
+/// Returns how long the request may still be sent again once the next attempt may have run, with `margin`
 /// to spare.
 pub fn retryable_for(request: &PendingRequest, now: Duration, margin: Duration) -> Duration {
     match request.idempotency {
@@ -43,8 +43,8 @@
     }
 }
 
-/// Whether the client may safely retry the request, and it may be shed rather than failed. A
-/// retry may reach endpoints outside a narrower scope than all.
+/// Returns whether the client may safely retry the request, so that it may be shed rather than
+/// failed. A client's retry may reach endpoints outside a narrower scope than all.
 pub fn client_may_retry(request: &PendingRequest) -> bool {
     match request.idempotency {
         Idempotency::Idempotent
--- a/crates/balancer/src/routing/slow_start.rs
+++ b/crates/balancer/src/routing/slow_start.rs
@@ -1,10 +1,10 @@
 //! Slow start, rule 4: an endpoint that has just started is sent no more than its present capacity
 //! allows (settings keys `ColdFrom`, `RampTime`, `OverloadFactor` and `TipAfter`).
 //!
-//! While it starts, an endpoint is sent one request for each permit. The responses of a warm
-//! endpoint to all nodes add up to less than its capacity, so each node draws permits at a multiple
-//! of the rate at which a warm endpoint serves it. Permits come at random and expire soon: what
-//! hundreds of quiet nodes could save up would otherwise be spent in one burst.
+//! While it starts, an endpoint is sent one request for each permit. The responses of a warm endpoint
+//! to all nodes add up to less than its capacity, so each node draws permits at a multiple of the
+//! rate at which a warm endpoint serves it. Permits come at random and expire soon: what hundreds of
+//! quiet nodes could save up would otherwise be spent in one burst.
 
 use crate::endpoints::{Endpoint, EndpointSet, Permit};
 use crate::estimates::EndpointShare;
@@ -17,13 +17,13 @@
 /// The part of the rule's overload factor that is used: the rest is for chance and endpoints that
 /// lag behind.
 const USED_OVERLOAD: f64 = 0.6;
-/// And no more than this multiple of the capacity an endpoint has for certain, or it would be
-/// overloaded for nothing.
+/// The most that is used of it, as a multiple of the capacity that an endpoint has for certain: more
+/// would overload it for nothing.
 const MAX_OVERLOAD: f64 = 1.6;
-/// Requests of more than this multiple of the mean work go to warm endpoints only.
+/// The most relative work of a request that a starting endpoint is sent.
 const MAX_RELATIVE_WORK: f64 = 2.0;
 
-/// The load on a starting endpoint, as a multiple of the capacity that it has for certain.
+/// Returns the load on a starting endpoint, as a multiple of the capacity that it has for certain.
 pub fn load_factor(rules: &Rules) -> f64 {
     (rules.overload_factor * USED_OVERLOAD).min(MAX_OVERLOAD)
 }
@@ -34,12 +34,12 @@
     /// The load on a starting endpoint, as a multiple of its present capacity.
     load_factor: f64,
     permit_lifetime: Duration,
-    /// What a warm endpoint serves for this node.
+    /// The work that a warm endpoint serves for this node.
     share: EndpointShare,
 }
 
 impl SlowStart {
-    /// No permits yet.
+    /// Returns a slow start that has issued no permits.
     pub fn new(settings: &Settings) -> Self {
         let rules = &settings.rules;
         SlowStart {
@@ -50,24 +50,24 @@
         }
     }
 
-    /// This node has started.
+    /// Records that this node has started.
     pub fn start(&mut self, now: Duration) {
         self.share.start(now);
     }
 
-    /// Work has arrived.
+    /// Records work that has arrived.
     pub fn record_arrival(&mut self, work: f64, now: Duration) {
         self.share.record_arrival(work, now);
     }
 
-    /// An endpoint has served work.
+    /// Records work that an endpoint has served.
     pub fn record_served(&mut self, endpoint: &Endpoint, work: f64, now: Duration) {
         if self.capacity.is_full(endpoint, now) {
             self.share.record_served(work, now);
         }
     }
 
-    /// Whether the endpoint may be sent a request of this relative work.
+    /// Returns whether the endpoint may be sent a request of this relative work.
     pub fn allows(&self, endpoint: &Endpoint, relative_work: f64, now: Duration) -> bool {
         let has_permit = endpoint.permit.is_valid(now) && relative_work <= MAX_RELATIVE_WORK;
         self.capacity.is_full(endpoint, now) || has_permit
@@ -81,9 +81,12 @@
         now: Duration,
         random: &mut Random,
     ) {
-        let nearby = endpoints.ring().take(2 * subset_size);
-        let starting = nearby.filter(|endpoint| !self.capacity.is_full(endpoint, now));
-        let starting: Vec<EndpointId> = starting.map(|endpoint| endpoint.entry.id).collect();
+        let starting: Vec<EndpointId> = endpoints
+            .ring()
+            .take(2 * subset_size)
+            .filter(|endpoint| !self.capacity.is_full(endpoint, now))
+            .map(|endpoint| endpoint.entry.id)
+            .collect();
         self.update_share(endpoints, subset_size, now);
         for id in starting {
             let draw = random.unit();
@@ -95,21 +98,22 @@
         }
     }
 
-    /// Draws one permit with the probability that a Poisson process of this rate has had an event
-    /// since.
+    /// Draws one permit, with the probability that a Poisson process of this rate has had an event
+    /// since the last draw.
     fn draw_permit(&self, permit: &mut Permit, rate: f64, draw: f64, now: Duration) {
         let since = permit
             .since_draw(now)
             .min(self.permit_lifetime)
             .as_secs_f64();
-        let won = draw < 1.0 - (-rate * since).exp();
-        permit.record_draw(won, self.permit_lifetime, now);
+        let is_won = draw < 1.0 - (-rate * since).exp();
+        permit.record_draw(is_won, self.permit_lifetime, now);
     }
 
     /// Updates the estimate of what a warm endpoint serves for this node.
     fn update_share(&mut self, endpoints: &EndpointSet, subset_size: usize, now: Duration) {
-        let subset = endpoints.ring().take(subset_size);
-        let warm = subset
+        let warm = endpoints
+            .ring()
+            .take(subset_size)
             .filter(|endpoint| self.capacity.is_full(endpoint, now))
             .count();
         let sharing = subset_size.min(endpoints.ready_count());
--- a/crates/balancer/src/routing/start_time.rs
+++ b/crates/balancer/src/routing/start_time.rs
@@ -1,11 +1,11 @@
-//! When a listed endpoint has started, on this node's own clock (settings keys `ColdFrom`,
-//! `RampTime` and `OverloadFactor`).
+//! When a listed endpoint has started, on this node's own clock (settings keys `ColdFrom`, `RampTime`
+//! and `OverloadFactor`).
 //!
 //! A start is listed by the wall clock. That may be stepped at any time, against the reading that
-//! this node took at its own start, and then an endpoint that has just started looks old, or as if
-//! it had yet to start. What the node is sure of without a wall clock bounds the age from both
-//! sides: an endpoint is no younger than the time since this node has heard of it, and, if it was
-//! not in the list before, hardly older.
+//! this node took at its own start, and then an endpoint that has just started looks old, or as if it
+//! had yet to start. What the node is sure of without a wall clock bounds the age from both sides: an
+//! endpoint is no younger than the time since this node has heard of it, and, if it was not in the
+//! list before, hardly older.
 
 use crate::EndpointEntry;
 use crate::routing::slow_start::load_factor;
@@ -15,37 +15,43 @@
 /// The part of the rule's overload factor that may be used by an endpoint whose age is
 /// overestimated.
 const USABLE_OVERLOAD: f64 = 0.8;
+/// The least growth of the capacity over the slow start window, as a fraction of the whole.
+const MIN_GROWTH: f64 = 1e-6;
 
-/// The bounds on listed starts.
+/// Resolves listed starts against the node's own clock.
 pub struct StartTimes {
-    /// How long before it is heard of an endpoint may have started.
+    /// How long before the node hears of it an endpoint may have started.
     max_delay: Duration,
 }
 
 impl StartTimes {
-    /// As long a delay as rule 4 forgives, if it is none but a clock that was stepped: the endpoint
-    /// then has the capacity of its start, and is sent what it could do that much later.
+    /// Returns bounds that allow as long a delay as rule 4 forgives if there was none, but a clock
+    /// that was stepped: the endpoint then has the capacity of its start, and is sent what it could
+    /// do that much later.
     pub fn new(rules: &Rules) -> Self {
         let forgiven = USABLE_OVERLOAD * rules.overload_factor / load_factor(rules) - 1.0;
-        let growth_per_window = (1.0 - rules.initial_capacity).max(1e-6);
+        let growth_per_window = (1.0 - rules.initial_capacity).max(MIN_GROWTH);
         let windows = (rules.initial_capacity * forgiven / growth_per_window).clamp(0.0, 1.0);
         StartTimes {
             max_delay: rules.slow_start_window.mul_f64(windows),
         }
     }
 
-    /// When an endpoint started that is heard of at `now`, or is listed with another start than
-    /// before; `None` if long ago. `was_absent` says that a list before did not have it with this
-    /// start: then it is new, and a start long before `now` cannot be true. Where there was no such
-    /// list, the wall clock is all there is.
+    /// Returns when an endpoint started that the node hears of at `now`, or that is listed with
+    /// another start than before; `None` if long ago.
+    ///
+    /// `is_new_to_list` says that an earlier list did not have it with this start: then a start long
+    /// before `now` is implausible. Where there was no such list, the wall clock is all there is.
     pub fn resolve(
         &self,
         entry: &EndpointEntry,
-        was_absent: bool,
+        is_new_to_list: bool,
         now: Duration,
     ) -> Option<Duration> {
         let listed = entry.started?;
-        let is_false = listed > now || was_absent && listed + self.max_delay < now;
-        Some(if is_false { now } else { listed })
+        let is_in_future = listed > now;
+        let is_too_old = is_new_to_list && listed + self.max_delay < now;
+        let is_implausible = is_in_future || is_too_old;
+        Some(if is_implausible { now } else { listed })
     }
 }
--- a/crates/balancer/src/routing/subset.rs
+++ b/crates/balancer/src/routing/subset.rs
@@ -2,7 +2,7 @@
 //! (`endpoints/ring.rs`).
 
 use crate::Settings;
-use crate::numeric::DecayingRate;
+use crate::numeric::{DecayingRate, Seconds};
 use std::time::Duration;
 
 /// The share of the service that connections may cost: little beside what uninformed sends cost.
@@ -14,29 +14,30 @@
 const SIGHTINGS: f64 = 3.0;
 /// With health checks the node sees an endpoint twice as often.
 const SIGHTINGS_PER_SEND_WITH_CHECKS: f64 = 2.0;
-/// A quiet node uses this many endpoints all the same.
+/// The fewest endpoints that own traffic is taken to keep in view, also on a quiet node.
 const MIN_IN_VIEW: f64 = 6.0;
 /// Endpoints to choose from beyond those that hold a request each.
 const SPARE: f64 = 2.0;
 /// No more endpoints than this are compared for a request, to bound its cost.
 const MAX_SUBSET: usize = 64;
 
-/// What bounds the size of a node's subset.
+/// The size of a node's subset, and what bounds it.
 pub struct Subset {
     /// Connections that this node and all others may keep to each endpoint, for the price of
     /// connections.
     affordable_connections: f64,
     node_count: f64,
-    sightings: f64,
-    window: f64,
+    /// How often an endpoint is to be sent a request within the window.
+    sends_per_window: f64,
+    window: Seconds,
     /// Own attempts.
     sent: DecayingRate,
 }
 
 impl Subset {
-    /// Before the first send.
+    /// Returns the subset before the first send.
     pub fn new(settings: &Settings) -> Self {
-        let per_send = if settings.loads_are_polled() {
+        let sightings_per_send = if settings.loads_are_polled() {
             SIGHTINGS_PER_SEND_WITH_CHECKS
         } else {
             1.0
@@ -46,24 +47,25 @@
             affordable_connections: PRICED_CONNECTIONS * CONNECTION_BUDGET
                 / settings.cost_weights.connections,
             node_count: f64::from(settings.node_count),
-            sightings: SIGHTINGS / per_send,
+            sends_per_window: SIGHTINGS / sightings_per_send,
             window,
             sent: DecayingRate::new(window),
         }
     }
 
-    /// An attempt has been sent.
+    /// Records an attempt that was sent.
     pub fn record_send(&mut self, now: Duration) {
         self.sent.add(now, 1.0);
     }
 
-    /// How many of the ready endpoints to use: as many as are affordable and as own traffic keeps
-    /// in view, but one for every request at once (Little's law) and some to spare.
-    pub fn size(&self, ready: usize, mean_response_time: f64, now: Duration) -> usize {
+    /// Returns how many of the ready endpoints to use: as many as are affordable and as own traffic
+    /// keeps in view, but one for every request at once (Little's law) and some to spare.
+    pub fn size(&self, ready: usize, mean_response_time: Seconds, now: Duration) -> usize {
         let rate = self.sent.per_second(now);
         let affordable = self.affordable_connections * ready as f64 / self.node_count;
-        let in_view = (rate * self.window).max(MIN_IN_VIEW * SIGHTINGS) / self.sightings;
-        let busy_at_once = rate * mean_response_time;
+        let sends = (rate * self.window.as_f64()).max(MIN_IN_VIEW * SIGHTINGS);
+        let in_view = sends / self.sends_per_window;
+        let busy_at_once = rate * mean_response_time.as_f64();
         let size = affordable.min(in_view).max(SPARE + busy_at_once);
         (size as usize).min(MAX_SUBSET)
     }
--- a/crates/balancer/src/settings/model.rs
+++ b/crates/balancer/src/settings/model.rs
@@ -3,6 +3,7 @@
 //! Times are [`Duration`]s; a point in time is the time since some fixed moment of the host's
 //! monotonic clock.
 
+use crate::numeric::Seconds;
 use std::time::Duration;
 
 /// The settings of one node.
@@ -174,10 +175,12 @@
         self.load_reports == LoadReportSource::HealthChecks && self.limits.health_checks
     }
 
-    /// The window in seconds over which rates are taken: a few of those in which a starting
-    /// endpoint is judged.
-    pub(crate) fn rate_window(&self) -> f64 {
-        3.0 * self.rules.overload_window.as_secs_f64().max(1e-3)
+    /// Returns the window over which rates are taken: a few of those in which a starting endpoint is
+    /// judged.
+    pub(crate) fn rate_window(&self) -> Seconds {
+        const WINDOWS: f64 = 3.0;
+        const MIN_WINDOW: Seconds = Seconds::new(1e-3);
+        Seconds::from(self.rules.overload_window).max(MIN_WINDOW) * WINDOWS
     }
 }
 
