--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -38,7 +38,8 @@
     (load.round() as usize).min(LOAD_LEVELS - 1)
 }
 
-/// Returns whether a request's declared work takes longer than it has time, even at an idle endpoint.
+/// Returns whether a request's declared work takes longer than it has time, even at an idle
+/// endpoint.
 pub fn cannot_finish_in_time(
     declared_work: Option<Duration>,
     time_left: Duration,
@@ -69,8 +70,8 @@
         }
     }
 
-    /// Returns whether an endpoint is likely to respond to a request in time; `draw` is the request's
-    /// random draw.
+    /// Returns whether an endpoint is likely to respond to a request in time; `draw` is the
+    /// request's random draw.
     pub fn admits(
         &self,
         endpoint: &Endpoint,
@@ -88,8 +89,8 @@
         level == 0 || self.in_time[level] >= OPEN_ABOVE
     }
 
-    /// Returns whether an endpoint at an open level admits this request. One that reports to be idle
-    /// admits every request: that others were late elsewhere says nothing against it.
+    /// Returns whether an endpoint at an open level admits this request. One that reports to be
+    /// idle admits every request: that others were late elsewhere says nothing against it.
     fn admits_request(
         &self,
         endpoint: &Endpoint,
@@ -120,9 +121,9 @@
         self.admitted_share = (self.admitted_share + ADMITTED_SHARE_STEP).min(MAX_ADMITTED_SHARE);
     }
 
-    /// Records a late attempt. It would have been late at a higher load too. The admitted share falls
-    /// for the part of the load that is not this node's own: the endpoint is unhealthy, or other
-    /// nodes load it. The part that is this node's own has closed a level.
+    /// Records a late attempt. It would have been late at a higher load too. The admitted share
+    /// falls for the part of the load that is not this node's own: the endpoint is unhealthy, or
+    /// other nodes load it. The part that is this node's own has closed a level.
     fn record_late(&mut self, level: usize) {
         let mut own_part = 0.0;
         if level > 0 {
--- a/crates/balancer/src/backoff.rs
+++ b/crates/balancer/src/backoff.rs
@@ -28,8 +28,8 @@
         self.wait = Duration::ZERO;
     }
 
-    /// Returns the next wait: between half and all of its length, so that nodes that failed together
-    /// do not call together.
+    /// Returns the next wait: between half and all of its length, so that nodes that failed
+    /// together do not call together.
     pub fn next_wait(&mut self, random: &mut Random) -> Duration {
         self.wait = (2 * self.wait).clamp(self.shortest, self.longest);
         self.wait.mul_f64(0.5 + random.unit() / 2.0)
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,21 +1,27 @@
-//! The balancer of one node. It routes each event to the concerns that take it in, and decides
-//! nothing itself: the life cycle of a request is in `balancer/life_cycle.rs`, where it goes in
-//! `balancer/dispatch.rs`.
-
-mod dispatch;
+//! The balancer of one node: a state machine that is given events, and returns the actions to take.
+//!
+//! It passes each event on and decides nothing itself. `life_cycle` follows a request from its
+//! arrival to its end, `eligibility` holds the rules on sending it, `routing` chooses its endpoint,
+//! `rejection` ends it unserved, `feedback` records what sends and responses tell, and
+//! `endpoint_list` applies the list from discovery.
+
+mod eligibility;
+mod endpoint_list;
+mod feedback;
 mod life_cycle;
+mod rejection;
+mod routing;
 
 use crate::admission::Admission;
 use crate::endpoint_polling::EndpointPolling;
-use crate::endpoints::{Endpoint, EndpointSet, HealthSignal, ReportedLoad, reported_load};
+use crate::endpoints::EndpointSet;
 use crate::estimates::load_snapshot::LoadSnapshot;
 use crate::estimates::{DeclaredWork, ResponseTimes};
 use crate::health::active_check::ActiveChecks;
-use crate::health::observation::{ClassContext, Observation};
-use crate::health::outlier_ejection::{self, OutlierDetector};
+use crate::health::outlier_ejection::OutlierDetector;
 use crate::numeric::Random;
 use crate::priority::Priorities;
-use crate::requests::{Attempt, PendingRequest, QueuedRequests};
+use crate::requests::{PendingRequest, QueuedRequests};
 use crate::retry::budget::RetryBudget;
 use crate::retry::client_retry::ClientRetries;
 use crate::retry::hedging::Hedging;
@@ -23,10 +29,7 @@
 use crate::routing::slow_start::SlowStart;
 use crate::routing::start_time::StartTimes;
 use crate::routing::subset::Subset;
-use crate::{
-    Action, AttemptEnd, EndpointEntry, EndpointId, Event, HealthCheckEnd, ListKind, LoadReport,
-    Outcome, RequestId, Settings, Timer,
-};
+use crate::{Action, Event, RequestId, Settings, Timer};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -55,19 +58,20 @@
     polling: EndpointPolling,
 }
 
-/// How many entries the tables of a [`Balancer`] hold.
+/// The number of entries in the tables of a [`Balancer`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TableSizes {
     /// Listed endpoints.
     pub endpoints: usize,
-    /// Requests that await their final answer or the end of an attempt.
+    /// Requests that await their final response or the end of an attempt.
     pub requests: usize,
-    /// Those of them that are held until a health check has been answered.
+    /// Those of them that are queued until a health check has ended.
     pub queued: usize,
 }
 
 impl Balancer {
-    /// A node that has just started and holds no state.
+    /// Returns the balancer of a node that has just started. `seed` determines all its random
+    /// choices.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Balancer {
             random: Random::new(seed),
@@ -93,7 +97,11 @@
         }
     }
 
-    /// Takes in what happened at `now` and adds what is to be done to `actions`, in order.
+    /// Handles an event that happened at `now`, and appends the actions to take to `actions`, in
+    /// order.
+    ///
+    /// `now` is the time since some fixed moment of the host's monotonic clock. An earlier time
+    /// than that of the event before counts as that time.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         let is_first = self.now.is_zero();
         self.now = now.max(self.now).max(Duration::from_nanos(1));
@@ -108,12 +116,12 @@
             Event::ClientDisconnected { id } => self.close(id, actions),
             Event::Timer(Timer::EndpointPolling) => self.poll_endpoints(actions),
             Event::Timer(Timer::Request(id)) => self.on_request_timer(id, actions),
-            Event::HealthCheckEnded(end) => self.on_health_checked(end, actions),
+            Event::HealthCheckEnded(end) => self.on_health_check_ended(end, actions),
         }
     }
 
-    /// How many entries its tables hold. Endpoints leave with the list, requests with the end of
-    /// their last attempt.
+    /// Returns the number of entries in its tables. Endpoints leave with the list, requests with
+    /// the end of their last attempt.
     pub fn table_sizes(&self) -> TableSizes {
         TableSizes {
             endpoints: self.endpoints.len(),
@@ -130,150 +138,7 @@
         }
     }
 
-    // The endpoint list.
-
-    fn poll_endpoints(&mut self, actions: &mut Vec<Action>) {
-        self.subscribe_if_due(actions);
-        let after = self.polling.check_interval();
-        actions.push(Action::SetTimer {
-            after,
-            timer: Timer::EndpointPolling,
-        });
-    }
-
-    fn subscribe_if_due(&mut self, actions: &mut Vec<Action>) {
-        if self.polling.call_is_due(self.now) {
-            actions.push(Action::Subscribe { enabled: true });
-        }
-    }
-
-    fn on_endpoint_list(
-        &mut self,
-        kind: ListKind,
-        entries: Vec<EndpointEntry>,
-        actions: &mut Vec<Action>,
-    ) {
-        match kind {
-            ListKind::Failed => {
-                self.polling.record_failure(self.now, &mut self.random);
-                return self.subscribe_if_due(actions);
-            }
-            ListKind::Cached => {}
-            ListKind::Delta | ListKind::Snapshot => self.polling.record_list(),
-        }
-        let send_count = self.endpoints.mean_send_count(self.subset_size());
-        let had_endpoints = self.endpoints.has_listed_endpoints();
-        let (start_times, now) = (&self.start_times, self.now);
-        self.endpoints.apply(kind, entries, |entry| {
-            let started = start_times.resolve(entry, had_endpoints, now);
-            Endpoint::newly_listed(*entry, started, send_count, now)
-        });
-    }
-
-    // What is recorded of requests and endpoints.
-
-    fn on_stream_started(&mut self, id: RequestId) {
-        if let Some(request) = self.requests.get_mut(&id) {
-            request.stage.start_streaming();
-        }
-    }
-
-    /// An attempt was started.
-    fn record_attempt(&mut self, id: RequestId, attempt: Attempt) {
-        if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint.id) {
-            endpoint.in_flight += 1;
-            endpoint.permit.consume();
-            if let Some(load) = &mut endpoint.reported_load {
-                load.add_send();
-            }
-            self.join_up_to.record_send(endpoint);
-        }
-        if let Some(request) = self.requests.get_mut(&id) {
-            request.add_attempt(attempt);
-        }
-        self.subset.record_send(self.now);
-        self.queued.remove(id);
-    }
-
-    fn learn(&mut self, end: &AttemptEnd) {
-        let Some(request) = self.requests.get(&end.id) else {
-            return;
-        };
-        let Some(attempt) = request.attempts.get(end.attempt as usize) else {
-            return;
-        };
-        let context = ClassContext {
-            class: &self.settings.classes[request.class],
-            mean_response_time: self.response_times.class_mean(request.class),
-        };
-        let observation = Observation::new(request, attempt, end, &context, self.now);
-        let load_level = attempt.load_level;
-        let served = end.outcome == Outcome::Served;
-        if served {
-            self.response_times
-                .record(request.class, request.relative_work, end.elapsed);
-        }
-        if let Some(endpoint) = self.endpoints.get_mut(end.endpoint) {
-            endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
-            if served {
-                self.slow_start
-                    .record_served(endpoint, request.relative_work, self.now);
-            }
-        }
-        self.record_report(end.endpoint, end.report, served);
-        if let Some(signal) = observation.health() {
-            self.record_health(end.endpoint, signal);
-        }
-        if let Some(timeliness) = observation.timeliness() {
-            self.admission.record(timeliness, load_level);
-        }
-    }
-
-    fn on_health_checked(&mut self, end: HealthCheckEnd, actions: &mut Vec<Action>) {
-        if let Some(endpoint) = self.endpoints.get_mut(end.endpoint) {
-            endpoint.check_in_flight = false;
-            endpoint.reported_load = None;
-        }
-        self.record_report(end.endpoint, end.report, end.outcome == Outcome::Served);
-        if end.outcome == Outcome::ConnectFailed {
-            self.record_health(end.endpoint, HealthSignal::Unreachable);
-        }
-        let was_last = self.active_checks.record_end();
-        for id in self.queued.ids().to_vec() {
-            if was_last {
-                self.queued.remove(id);
-            }
-            self.dispatch(id, actions);
-        }
-    }
-
-    fn record_report(&mut self, id: EndpointId, report: Option<LoadReport>, served: bool) {
-        let Some(load) = report.as_ref().and_then(reported_load) else {
-            return;
-        };
-        let Some(endpoint) = self.endpoints.get_mut(id) else {
-            return;
-        };
-        endpoint.reported_load = Some(ReportedLoad::new(load, self.now));
-        self.join_up_to
-            .record_report(endpoint, load, served, self.now);
-    }
-
-    fn record_health(&mut self, id: EndpointId, signal: HealthSignal) {
-        let nearby = 2 * self.subset_size();
-        let Some(endpoint) = self.endpoints.get_mut(id) else {
-            return;
-        };
-        let verdict = self.outliers.record(endpoint, signal);
-        if !outlier_ejection::allows_ejection(verdict, &self.endpoints, nearby) {
-            return;
-        }
-        if let Some(endpoint) = self.endpoints.get_mut(id) {
-            self.outliers.eject(endpoint, self.now);
-        }
-    }
-
-    /// How many of the ready endpoints this node uses.
+    /// Returns how many of the ready endpoints this node uses.
     fn subset_size(&self) -> usize {
         self.subset.size(
             self.endpoints.ready_count(),
@@ -282,7 +147,7 @@
         )
     }
 
-    /// The loads of the endpoints as they are known now.
+    /// Returns the loads of the endpoints as they are known now.
     fn load_snapshot(&self) -> LoadSnapshot {
         LoadSnapshot::new(
             self.settings.loads_are_polled(),
--- a/crates/balancer/src/balancer/life_cycle.rs
+++ b/crates/balancer/src/balancer/life_cycle.rs
@@ -1,40 +1,39 @@
-//! The life cycle of a request, from its arrival to its final answer: the only place that sheds or
-//! fails one.
+//! The life cycle of a request, from its arrival until it is closed and its last attempt has ended.
 
 use super::Balancer;
 use crate::admission;
 use crate::requests::{PendingRequest, RequestStage};
-use crate::retry::idempotency;
 use crate::{Action, AttemptEnd, NewRequest, RequestId, Timer};
 use std::time::Duration;
 
 impl Balancer {
     pub(super) fn on_request(&mut self, new: NewRequest, actions: &mut Vec<Action>) {
         let class = new.class.min(self.settings.classes.len() - 1);
-        let deadline = self.useful_until(&new, class);
+        let deadline = self.effective_deadline(&new, class);
         let relative_work = self.declared_work.record(new.cost_hint);
         self.slow_start.record_arrival(relative_work, self.now);
         self.retry_budget.deposit();
+        let priority = self.priorities.record_request(class, new.tenant, self.now);
         let request = PendingRequest {
             class,
             idempotency: self.settings.classes[class].idempotency,
             relative_work,
-            priority: self.priorities.record_request(class, new.tenant, self.now),
+            priority,
             deadline,
             attempts: Vec::new(),
             stage: self.first_stage(),
         };
         self.requests.insert(new.id, request);
         let time_left = deadline.saturating_sub(self.now);
-        if admission::cannot_finish_in_time(new.cost_hint, time_left, self.join_up_to.busy_share())
-        {
-            return self.answer(new.id, actions);
+        let busy_share = self.join_up_to.busy_share();
+        if admission::cannot_finish_in_time(new.cost_hint, time_left, busy_share) {
+            return self.reject(new.id, actions);
         }
         actions.push(Action::SetTimer {
             after: time_left,
             timer: Timer::Request(new.id),
         });
-        self.dispatch(new.id, actions);
+        self.route(new.id, actions);
     }
 
     fn first_stage(&self) -> RequestStage {
@@ -45,9 +44,10 @@
         }
     }
 
-    /// Until when a response is of use: up to the latency objective where late responses count for
-    /// nothing. The client leaves at its deadline, and the timer comes a tick late at most.
-    fn useful_until(&mut self, new: &NewRequest, class: usize) -> Duration {
+    /// Returns the time until which a response is of use: up to the latency objective where late
+    /// responses count for nothing. The client leaves at its deadline, and the timer comes a tick
+    /// late at most.
+    fn effective_deadline(&mut self, new: &NewRequest, class: usize) -> Duration {
         const MAX_STRETCH: f64 = 1e3;
         let spent = self.client_retries.time_spent(new, class);
         let class = &self.settings.classes[class];
@@ -66,12 +66,19 @@
             return;
         };
         if self.now >= request.deadline {
-            return self.answer(id, actions);
+            return self.reject(id, actions);
         }
-        // What was queued for health checks, or for want of endpoints, has waited long enough.
+        // A request that was queued for health checks, or for want of endpoints, has waited long
+        // enough.
         request.stage.finish_health_checks();
         self.queued.remove(id);
-        self.dispatch(id, actions);
+        self.route(id, actions);
+    }
+
+    pub(super) fn on_stream_started(&mut self, id: RequestId) {
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.stage.start_streaming();
+        }
     }
 
     pub(super) fn on_attempt_ended(&mut self, end: AttemptEnd, actions: &mut Vec<Action>) {
@@ -84,51 +91,33 @@
         if attempt.outcome.replace(end.outcome).is_some() {
             return;
         }
-        let needs_no_answer = end.request_finished || request.stage.is_closed();
+        let needs_no_response = end.request_finished || request.stage.is_closed();
         let all_ended = request.in_flight() == 0;
-        self.learn(&end);
-        if needs_no_answer {
+        self.record_attempt_end(&end);
+        if needs_no_response {
             self.close(end.id, actions);
         } else if all_ended {
-            self.dispatch(end.id, actions);
-        }
-    }
-
-    /// Gives the final answer, the only place that does: shed if the client may safely retry, else
-    /// failed. Waits for attempts in flight, which may still be served.
-    pub(super) fn answer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(request) = self.requests.get(&id) else {
-            return;
-        };
-        if request.stage.is_closed() || request.stage.is_streaming() {
-            return;
-        }
-        if request.in_flight() > 0 && self.now < request.deadline {
-            return;
-        }
-        if idempotency::client_may_retry(request) {
-            let retry_after = self.settings.limits.max_retry_after;
-            actions.push(Action::Shed { id, retry_after });
-        } else {
-            actions.push(Action::Fail { id });
+            self.route(end.id, actions);
         }
-        self.close(id, actions);
     }
 
-    /// Nothing more is sent for a request. Its attempts in flight are cancelled, and it is kept
-    /// until they end.
+    /// Closes a request: nothing more is sent for it. Its attempts in flight are cancelled, and it
+    /// is kept until they end.
     pub(super) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         self.queued.remove(id);
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        if !request.stage.is_closed()
-            && !request.stage.is_streaming()
-            && self.settings.limits.cancel
-        {
-            let attempts = request.attempts.iter().zip(0..);
-            let in_flight = attempts.filter(|(attempt, _)| attempt.is_in_flight());
-            actions.extend(in_flight.map(|(_, attempt)| Action::CancelAttempt { id, attempt }));
+        let may_cancel = !request.stage.is_closed() && !request.stage.is_streaming();
+        if may_cancel && self.settings.limits.cancel {
+            for (number, attempt) in (0..).zip(&request.attempts) {
+                if attempt.is_in_flight() {
+                    actions.push(Action::CancelAttempt {
+                        id,
+                        attempt: number,
+                    });
+                }
+            }
         }
         request.stage.close();
         if request.in_flight() == 0 {
--- a/crates/balancer/src/endpoint_polling.rs
+++ b/crates/balancer/src/endpoint_polling.rs
@@ -69,8 +69,8 @@
     /// Schedules the next call after one that failed, or after the end of the subscription.
     ///
     /// If the subscription ended, the wait counts from the call that opened it: a watch may end in
-    /// place of a change, and discovery works through the calls of all nodes one after the other, so
-    /// that none of the time until the change counts as known is there to be waited out.
+    /// place of a change, and discovery works through the calls of all nodes one after the other,
+    /// so that none of the time until the change counts as known is there to be waited out.
     pub fn record_failure(&mut self, now: Duration, random: &mut Random) {
         let was_subscribed = self.next_call.is_none();
         let wait_from = if was_subscribed { self.last_call } else { now };
--- a/crates/balancer/src/estimates/load_snapshot.rs
+++ b/crates/balancer/src/estimates/load_snapshot.rs
@@ -48,8 +48,8 @@
             .then(|| report.requests())
     }
 
-    /// Returns the load of an endpoint: the reported one, or one guessed from own attempts and their
-    /// failures, but not less than own attempts in flight.
+    /// Returns the load of an endpoint: the reported one, or one guessed from own attempts and
+    /// their failures, but not less than own attempts in flight.
     pub fn estimate(&self, endpoint: &Endpoint) -> f64 {
         let in_flight = f64::from(endpoint.in_flight);
         match self.reported(endpoint) {
--- a/crates/balancer/src/health/active_check.rs
+++ b/crates/balancer/src/health/active_check.rs
@@ -41,9 +41,10 @@
     /// Returns whether health checks for a request save more than they cost, both in units of the
     /// mean request.
     ///
-    /// Sent without them, a request meets a busy endpoint as often as there are such, and is late the
-    /// likelier for it the more of its time its own work takes. Health checks avoid that, or half of
-    /// it where all the endpoints asked are busy. `mean_work` is the mean work of a request.
+    /// Sent without them, a request meets a busy endpoint as often as there are such, and is late
+    /// the likelier for it the more of its time its own work takes. Health checks avoid that, or
+    /// half of it where all the endpoints asked are busy. `mean_work` is the mean work of a
+    /// request.
     pub fn are_worth_it(
         &self,
         request: &PendingRequest,
@@ -69,7 +70,8 @@
         }
     }
 
-    /// Sends health checks to some of the targets. Returns whether any health check is in flight now.
+    /// Sends health checks to some of the targets. Returns whether any health check is in flight
+    /// now.
     pub fn start(
         &mut self,
         mut targets: Vec<EndpointId>,
--- a/crates/balancer/src/health/observation.rs
+++ b/crates/balancer/src/health/observation.rs
@@ -1,5 +1,5 @@
-//! What the end of an attempt says of its endpoint: whether it is healthy, and whether it responds in
-//! time.
+//! What the end of an attempt says of its endpoint: whether it is healthy, and whether it responds
+//! in time.
 
 use crate::endpoints::HealthSignal;
 use crate::numeric::Seconds;
@@ -74,9 +74,9 @@
     }
 }
 
-/// Returns whether an attempt took as long as a usual response of its class, and was seen to end when
-/// it expired. An end that is seen long after that says that this node paused, not that the endpoint
-/// is slow.
+/// Returns whether an attempt took as long as a usual response of its class, and was seen to end
+/// when it expired. An end that is seen long after that says that this node paused, not that the
+/// endpoint is slow.
 fn is_overdue(attempt: &Attempt, end: &AttemptEnd, usual: Seconds, now: Duration) -> bool {
     let seen_late_by = Seconds::from(now) - Seconds::from(attempt.expires);
     let was_seen_in_time = (Seconds::ZERO..usual / 4.0).contains(&seen_late_by);
--- a/crates/balancer/src/health/outlier_ejection.rs
+++ b/crates/balancer/src/health/outlier_ejection.rs
@@ -15,8 +15,8 @@
 const MAX_DOUBLINGS: u32 = 4;
 /// The share of requests that may probe an endpoint on probation.
 const PROBE_SHARE: f64 = SMOOTHING;
-/// How much smaller that share is among requests that cannot be retried: probes would otherwise take
-/// most of the requests of a quiet node.
+/// How much smaller that share is among requests that cannot be retried: probes would otherwise
+/// take most of the requests of a quiet node.
 const UNRETRYABLE_PROBE_DIVISOR: f64 = 4.0;
 
 /// What a signal means for the endpoint that gave it.
@@ -106,8 +106,8 @@
     }
 }
 
-/// Returns the endpoints to choose from: those due for a probe if the request may be one, else those
-/// that are not ejected, else all.
+/// Returns the endpoints to choose from: those due for a probe if the request may be one, else
+/// those that are not ejected, else all.
 pub fn candidates(eligible: Vec<&Endpoint>, may_probe: bool, now: Duration) -> Vec<&Endpoint> {
     let is_due = |e: &&Endpoint| e.in_flight == 0 && e.health.is_on_probation(now);
     if may_probe && eligible.iter().any(is_due) {
--- a/crates/balancer/src/priority.rs
+++ b/crates/balancer/src/priority.rs
@@ -1,5 +1,5 @@
-//! How much a request counts when some must be rejected: its class's priority weight, less where its
-//! tenant is over its quota (settings keys `Credit`, `Projects`, `OverShareWorth`).
+//! How much a request counts when some must be rejected: its class's priority weight, less where
+//! its tenant is over its quota (settings keys `Credit`, `Projects`, `OverShareWorth`).
 
 use crate::numeric::{SMOOTHING, TokenBucket, smooth};
 use crate::{Settings, Tenant};
@@ -47,8 +47,8 @@
 
     /// Records a new request and returns its priority.
     ///
-    /// The objective's weight of the worst-served class is spread evenly over all classes, since any
-    /// may become the worst.
+    /// The objective's weight of the worst-served class is spread evenly over all classes, since
+    /// any may become the worst.
     pub fn record_request(&mut self, class: usize, tenant: usize, now: Duration) -> f64 {
         let factor = if self.is_over_quota(tenant, now) {
             self.over_quota_weight
--- a/crates/balancer/src/requests/queued_requests.rs
+++ b/crates/balancer/src/requests/queued_requests.rs
@@ -1,4 +1,5 @@
-//! The requests that are queued until health checks end. `health/active_check.rs` decides which are.
+//! The requests that are queued until health checks end. `health/active_check.rs` decides which
+//! are.
 
 use crate::RequestId;
 
--- a/crates/balancer/src/retry/budget.rs
+++ b/crates/balancer/src/retry/budget.rs
@@ -1,5 +1,5 @@
-//! The retry budget: further attempts stay a fixed share of requests, so that retries cannot multiply
-//! an overload (Google SRE book, "Handling Overload", per-client retry budget).
+//! The retry budget: further attempts stay a fixed share of requests, so that retries cannot
+//! multiply an overload (Google SRE book, "Handling Overload", per-client retry budget).
 
 use crate::numeric::TokenBucket;
 
--- a/crates/balancer/src/retry/idempotency.rs
+++ b/crates/balancer/src/retry/idempotency.rs
@@ -28,8 +28,8 @@
     }
 }
 
-/// Returns how long the request may still be sent again once the next attempt may have run, with `margin`
-/// to spare.
+/// Returns how long the request may still be sent again once the next attempt may have run, with
+/// `margin` to spare.
 pub fn retryable_for(request: &PendingRequest, now: Duration, margin: Duration) -> Duration {
     match request.idempotency {
         Idempotency::Idempotent => Duration::MAX,
--- a/crates/balancer/src/routing/join_up_to.rs
+++ b/crates/balancer/src/routing/join_up_to.rs
@@ -1,8 +1,9 @@
 //! Join-Up-To(m), the ordinary path of every request ("Join-Up-To(m): Improved Hyper-scalable Load
 //! Balancing").
 //!
-//! A node counts its own sends to each endpoint since that endpoint last showed idle. It sends to the
-//! lowest count below m, ties broken at random, and to any endpoint at random once all have reached m.
+//! A node counts its own sends to each endpoint since that endpoint last showed idle. It sends to
+//! the lowest count below m, ties broken at random, and to any endpoint at random once all have
+//! reached m.
 
 use crate::endpoints::Endpoint;
 use crate::estimates::load_snapshot::{LoadSnapshot, is_idle};
@@ -74,8 +75,8 @@
         }
     }
 
-    /// Returns the cap m of Theorem 6 of the paper for exponential job sizes, from own sends per idle
-    /// signal (its lambda / delta) and the share of reports that were not idle (its lambda).
+    /// Returns the cap m of Theorem 6 of the paper for exponential job sizes, from own sends per
+    /// idle signal (its lambda / delta) and the share of reports that were not idle (its lambda).
     fn cap(&self) -> u32 {
         let sends_per_signal = self.sends / self.idle_signals;
         let busy_share = self.busy_share.max(SMOOTHING);
@@ -91,8 +92,8 @@
         self.idle_signals *= MEMORY;
     }
 
-    /// Records a load report. An idle one that came with a served response or health check resets the
-    /// count; own attempts that are still in flight there stay in it.
+    /// Records a load report. An idle one that came with a served response or health check resets
+    /// the count; own attempts that are still in flight there stay in it.
     pub fn record_report(
         &mut self,
         endpoint: &mut Endpoint,
--- a/crates/balancer/src/routing/slow_start.rs
+++ b/crates/balancer/src/routing/slow_start.rs
@@ -1,10 +1,10 @@
 //! Slow start, rule 4: an endpoint that has just started is sent no more than its present capacity
 //! allows (settings keys `ColdFrom`, `RampTime`, `OverloadFactor` and `TipAfter`).
 //!
-//! While it starts, an endpoint is sent one request for each permit. The responses of a warm endpoint
-//! to all nodes add up to less than its capacity, so each node draws permits at a multiple of the
-//! rate at which a warm endpoint serves it. Permits come at random and expire soon: what hundreds of
-//! quiet nodes could save up would otherwise be spent in one burst.
+//! While it starts, an endpoint is sent one request for each permit. The responses of a warm
+//! endpoint to all nodes add up to less than its capacity, so each node draws permits at a multiple
+//! of the rate at which a warm endpoint serves it. Permits come at random and expire soon: what
+//! hundreds of quiet nodes could save up would otherwise be spent in one burst.
 
 use crate::endpoints::{Endpoint, EndpointSet, Permit};
 use crate::estimates::EndpointShare;
@@ -17,8 +17,8 @@
 /// The part of the rule's overload factor that is used: the rest is for chance and endpoints that
 /// lag behind.
 const USED_OVERLOAD: f64 = 0.6;
-/// The most that is used of it, as a multiple of the capacity that an endpoint has for certain: more
-/// would overload it for nothing.
+/// The most that is used of it, as a multiple of the capacity that an endpoint has for certain:
+/// more would overload it for nothing.
 const MAX_OVERLOAD: f64 = 1.6;
 /// The most relative work of a request that a starting endpoint is sent.
 const MAX_RELATIVE_WORK: f64 = 2.0;
--- a/crates/balancer/src/routing/start_time.rs
+++ b/crates/balancer/src/routing/start_time.rs
@@ -1,11 +1,11 @@
-//! When a listed endpoint has started, on this node's own clock (settings keys `ColdFrom`, `RampTime`
-//! and `OverloadFactor`).
+//! When a listed endpoint has started, on this node's own clock (settings keys `ColdFrom`,
+//! `RampTime` and `OverloadFactor`).
 //!
 //! A start is listed by the wall clock. That may be stepped at any time, against the reading that
-//! this node took at its own start, and then an endpoint that has just started looks old, or as if it
-//! had yet to start. What the node is sure of without a wall clock bounds the age from both sides: an
-//! endpoint is no younger than the time since this node has heard of it, and, if it was not in the
-//! list before, hardly older.
+//! this node took at its own start, and then an endpoint that has just started looks old, or as if
+//! it had yet to start. What the node is sure of without a wall clock bounds the age from both
+//! sides: an endpoint is no younger than the time since this node has heard of it, and, if it was
+//! not in the list before, hardly older.
 
 use crate::EndpointEntry;
 use crate::routing::slow_start::load_factor;
@@ -40,8 +40,9 @@
     /// Returns when an endpoint started that the node hears of at `now`, or that is listed with
     /// another start than before; `None` if long ago.
     ///
-    /// `is_new_to_list` says that an earlier list did not have it with this start: then a start long
-    /// before `now` is implausible. Where there was no such list, the wall clock is all there is.
+    /// `is_new_to_list` says that an earlier list did not have it with this start: then a start
+    /// long before `now` is implausible. Where there was no such list, the wall clock is all there
+    /// is.
     pub fn resolve(
         &self,
         entry: &EndpointEntry,
--- a/crates/balancer/src/settings/model.rs
+++ b/crates/balancer/src/settings/model.rs
@@ -175,8 +175,8 @@
         self.load_reports == LoadReportSource::HealthChecks && self.limits.health_checks
     }
 
-    /// Returns the window over which rates are taken: a few of those in which a starting endpoint is
-    /// judged.
+    /// Returns the window over which rates are taken: a few of those in which a starting endpoint
+    /// is judged.
     pub(crate) fn rate_window(&self) -> Seconds {
         const WINDOWS: f64 = 3.0;
         const MIN_WINDOW: Seconds = Seconds::new(1e-3);
