--- a/crates/node/src/discovery/backoff.rs
+++ b/crates/node/src/discovery/backoff.rs
@@ -40,8 +40,8 @@
 
     /// Returns the wait after a call that failed after `lasted`.
     ///
-    /// A call that lasted was a success first. Its watch may have ended in place of a change, so that
-    /// the next call follows at once.
+    /// A call that lasted was a success first. Its watch may have ended in place of a change, so
+    /// that the next call follows at once.
     pub fn next_wait(&mut self, lasted: Duration) -> Duration {
         if lasted > MAX_LONGEST_WAIT {
             self.reset();
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -25,7 +25,7 @@
 
 /// The options of discovery.
 #[derive(Clone, Debug)]
-pub struct Options {
+pub struct DiscoveryOptions {
     /// Where discovery listens at first.
     pub address: SocketAddr,
     /// The endpoint list as this node last had it, in discovery's format; perhaps out of date.
@@ -42,7 +42,7 @@
     pub machine_type_names: Vec<String>,
 }
 
-/// Keeps the endpoint list up to date, and sends each change to the dispatcher.
+/// Keeps the endpoint list up to date, and sends each change to the driver.
 pub struct Discovery {
     client: Client,
     backoff: ReconnectBackoff,
@@ -51,7 +51,7 @@
     readiness: Readiness,
     cached_list: Option<String>,
     poll: bool,
-    /// The version of the list that the dispatcher has.
+    /// The version of the list that the driver has.
     version: u64,
 }
 
@@ -74,7 +74,7 @@
 
 impl Discovery {
     /// Discovery that has not been called yet; lists go to `messages`.
-    pub fn new(options: Options, messages: mpsc::Sender<Message>) -> Self {
+    pub fn new(options: DiscoveryOptions, messages: mpsc::Sender<Message>) -> Self {
         let longest_wait = longest_wait(options.drain_grace);
         Discovery {
             client: Client::new(options.address, 2 * longest_wait),
--- a/crates/node/src/discovery/tests.rs
+++ b/crates/node/src/discovery/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::clock::Clock;
 use crate::config::Config;
-use crate::dispatcher::Dispatcher;
+use crate::driver::Driver;
 use crate::memory_budget::Budget;
 use crate::upstream::Upstream;
 use ottertiller_balancer::settings::millis;
@@ -124,7 +124,7 @@
     }
 }
 
-/// A dispatcher and its discovery, until this is dropped.
+/// A driver and its discovery, until this is dropped.
 struct TestNode {
     tasks: [JoinHandle<()>; 2],
     _address_changes: watch_channel::Sender<SocketAddr>,
@@ -141,13 +141,13 @@
             crate::startup::upstream_options(config),
             Budget::new(1 << 20),
         );
-        let options = crate::startup::dispatcher_options(config);
-        let mut dispatcher = Dispatcher::new(clock, options, upstream, messages.clone(), commands);
-        let dispatcher = spawn_local(async move { dispatcher.run(&mut inbox).await });
+        let options = crate::startup::driver_options(config);
+        let mut driver = Driver::new(clock, options, upstream, messages.clone(), commands);
+        let driver = spawn_local(async move { driver.run(&mut inbox).await });
         let discovery = Discovery::new(crate::startup::discovery_options(config), messages);
         let discovery = spawn_local(discovery.run(discovery_commands, addresses));
         TestNode {
-            tasks: [dispatcher, discovery],
+            tasks: [driver, discovery],
             _address_changes: address_changes,
         }
     }
--- a/crates/node/src/downstream/handler.rs
+++ b/crates/node/src/downstream/handler.rs
@@ -1,7 +1,7 @@
-//! Handles one request: checks and reads it, admits it, and waits for its final answer.
+//! Handles one request: checks and reads it, admits it, and waits for its final response.
 
 use super::open_calls::OpenCalls;
-use super::options::Options;
+use super::options::DownstreamOptions;
 use super::phase::Phase;
 use super::request_body;
 use super::request_error::RequestError;
@@ -11,7 +11,7 @@
 use crate::limits::MAX_BODY_BYTES;
 use crate::logging::log_peer;
 use crate::memory_budget::Budget;
-use crate::message::{FinalAnswer, ForwardedRequest, IncomingRequest, Message};
+use crate::message::{FinalResponse, ForwardedRequest, IncomingRequest, Message};
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::http::request::Parts;
@@ -35,10 +35,10 @@
 /// Handles the requests of all connections.
 pub struct RequestHandler {
     clock: Clock,
-    options: Options,
+    options: DownstreamOptions,
     /// Memory for bodies of requests and responses.
     budget: Budget,
-    dispatcher: mpsc::Sender<Message>,
+    driver: mpsc::Sender<Message>,
     /// Whether the node has an endpoint list.
     is_ready: Rc<Cell<bool>>,
     phase: Rc<Cell<Phase>>,
@@ -55,12 +55,12 @@
 }
 
 impl RequestHandler {
-    /// A handler that passes admitted requests to the dispatcher.
+    /// A handler that passes admitted requests to the driver.
     pub fn new(
         clock: Clock,
-        options: Options,
+        options: DownstreamOptions,
         budget: Budget,
-        dispatcher: mpsc::Sender<Message>,
+        driver: mpsc::Sender<Message>,
         is_ready: Rc<Cell<bool>>,
         phase: Rc<Cell<Phase>>,
     ) -> Self {
@@ -68,7 +68,7 @@
             clock,
             options,
             budget,
-            dispatcher,
+            driver,
             is_ready,
             phase,
             open_calls: OpenCalls::default(),
@@ -134,22 +134,22 @@
             .open_calls
             .open(&call_id)
             .ok_or(RequestError::CallInFlight)?;
-        let answer = self.dispatch(request, body, received).await;
-        Ok(response::final_answer(answer))
+        let answer = self.submit(request, body, received).await;
+        Ok(response::final_response(answer))
     }
 
-    /// Passes a request to the dispatcher, and waits for its final answer.
-    async fn dispatch(
+    /// Passes a request to the driver, and waits for its final response.
+    async fn submit(
         &self,
         request: ParsedRequest,
         body: Bytes,
         received: Duration,
-    ) -> FinalAnswer {
+    ) -> FinalResponse {
         let id = self.next_request_id();
         let (reply, answer) = oneshot::channel();
-        // Reserved now, since a drop cannot wait for a slot in the dispatcher's inbox.
-        let Ok(permit) = self.dispatcher.clone().reserve_owned().await else {
-            return FinalAnswer::Failed;
+        // Reserved now, since a drop cannot wait for a slot in the driver's inbox.
+        let Ok(permit) = self.driver.clone().reserve_owned().await else {
+            return FinalResponse::Failed;
         };
         let mut disconnect = DisconnectGuard {
             id,
@@ -158,10 +158,10 @@
         let message = Message::Request(Box::new(incoming_request(
             id, request, body, received, reply,
         )));
-        if self.dispatcher.send(message).await.is_err() {
-            return FinalAnswer::Failed;
+        if self.driver.send(message).await.is_err() {
+            return FinalResponse::Failed;
         }
-        let answer = answer.await.unwrap_or(FinalAnswer::Failed);
+        let answer = answer.await.unwrap_or(FinalResponse::Failed);
         disconnect.disarm();
         answer
     }
@@ -173,13 +173,13 @@
     }
 }
 
-/// Converts a parsed request to the dispatcher's message.
+/// Converts a parsed request to the driver's message.
 fn incoming_request(
     id: RequestId,
     parsed: ParsedRequest,
     body: Bytes,
     received: Duration,
-    reply: oneshot::Sender<FinalAnswer>,
+    reply: oneshot::Sender<FinalResponse>,
 ) -> IncomingRequest {
     let forward = ForwardedRequest {
         method: parsed.method,
--- a/crates/node/src/downstream/listener/tests.rs
+++ b/crates/node/src/downstream/listener/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::clock::Clock;
 use crate::downstream::handler::RequestHandler;
-use crate::downstream::options::Options;
+use crate::downstream::options::DownstreamOptions;
 use crate::downstream::phase::Phase;
 use crate::downstream::registry::ConnectionRegistry;
 use crate::memory_budget::Budget;
@@ -49,7 +49,7 @@
 }
 
 fn server() -> Rc<Server> {
-    let options = Options {
+    let options = DownstreamOptions {
         max_connections: MAX_CONNECTIONS,
         classes: Vec::new(),
         tenants: Vec::new(),
@@ -57,14 +57,14 @@
     };
     let phase = Rc::new(Cell::new(Phase::Serving));
     let registry = Rc::new(ConnectionRegistry::new(MAX_CONNECTIONS));
-    let (dispatcher, _) = mpsc::channel(1);
+    let (driver, _) = mpsc::channel(1);
     let is_ready = Rc::new(Cell::new(true));
     let budget = Budget::new(1 << 20);
     let handler = RequestHandler::new(
         Clock::start(),
         options,
         budget,
-        dispatcher,
+        driver,
         is_ready,
         phase.clone(),
     );
--- a/crates/node/src/downstream/mod.rs
+++ b/crates/node/src/downstream/mod.rs
@@ -1,7 +1,7 @@
-//! The downstream side: accepts client connections, reads requests, and writes the final answers.
+//! The downstream side: accepts client connections, reads requests, and writes the final responses.
 //!
 //! A [`listener`] accepts connections, the [`registry`] keeps them, and the [`server`] serves HTTP
-//! on each. It passes every request to the [`handler`], which admits it to the dispatcher.
+//! on each. It passes every request to the [`handler`], which admits it to the driver.
 
 mod connection;
 mod handler;
@@ -16,7 +16,7 @@
 mod response;
 mod server;
 
-pub use options::{Options, RequestClass};
+pub use options::{DownstreamOptions, RequestClass};
 
 use crate::clock::Clock;
 use crate::logging::log;
@@ -47,18 +47,18 @@
     server: Rc<Server>,
     registry: Rc<ConnectionRegistry>,
     phase: Rc<Cell<Phase>>,
-    dispatcher: mpsc::Sender<Message>,
+    driver: mpsc::Sender<Message>,
     longest_deadline: Duration,
 }
 
 impl Downstream {
-    /// A downstream side that passes requests to the dispatcher. `is_ready` says whether the node
+    /// A downstream side that passes requests to the driver. `is_ready` says whether the node
     /// has an endpoint list.
     pub fn new(
         clock: Clock,
-        options: Options,
+        options: DownstreamOptions,
         budget: Budget,
-        dispatcher: mpsc::Sender<Message>,
+        driver: mpsc::Sender<Message>,
         is_ready: Rc<Cell<bool>>,
     ) -> Self {
         let phase = Rc::new(Cell::new(Phase::Serving));
@@ -68,7 +68,7 @@
             clock,
             options,
             budget,
-            dispatcher.clone(),
+            driver.clone(),
             is_ready,
             phase.clone(),
         );
@@ -77,7 +77,7 @@
             server,
             registry,
             phase,
-            dispatcher,
+            driver,
             longest_deadline,
         }
     }
@@ -110,11 +110,11 @@
         }
     }
 
-    /// Gives every admitted request its final answer now, however long its client would still wait.
-    /// No other connection can have sent a whole request.
+    /// Gives every admitted request its final response now, however long its client would still
+    /// wait. No other connection can have sent a whole request.
     async fn end_overdue(&self) {
-        // Fails only when the dispatcher has ended.
-        let _ = self.dispatcher.send(Message::Shutdown).await;
+        // Fails only when the driver has ended.
+        let _ = self.driver.send(Message::Shutdown).await;
         if timeout(LAST_REQUESTS, self.registry.wait_until_empty())
             .await
             .is_err()
--- a/crates/node/src/downstream/options.rs
+++ b/crates/node/src/downstream/options.rs
@@ -5,7 +5,7 @@
 
 /// The options of the downstream side.
 #[derive(Clone, Debug)]
-pub struct Options {
+pub struct DownstreamOptions {
     /// The most client connections.
     pub max_connections: usize,
     /// The classes of requests, in the order of their numbers.
@@ -17,7 +17,7 @@
     pub max_retry_after: Option<Duration>,
 }
 
-impl Options {
+impl DownstreamOptions {
     /// The longest that a client of any class waits.
     pub fn longest_deadline(&self) -> Duration {
         self.classes
--- a/crates/node/src/downstream/request_parser.rs
+++ b/crates/node/src/downstream/request_parser.rs
@@ -1,6 +1,6 @@
 //! The checks that a request's head must pass to be admitted.
 
-use super::options::{Options, RequestClass};
+use super::options::{DownstreamOptions, RequestClass};
 use super::request_error::RequestError;
 use crate::limits::MAX_BODY_BYTES;
 use fnv::FnvHasher;
@@ -72,7 +72,7 @@
 
 /// Parses a head. What does not follow the protocol never reaches an endpoint.
 pub fn parse(
-    options: &Options,
+    options: &DownstreamOptions,
     head: Parts,
     body_length: usize,
 ) -> Result<ParsedRequest, RequestError> {
@@ -113,7 +113,7 @@
     key: u64,
 }
 
-fn parse_target(options: &Options, path: &str) -> Result<Target, RequestError> {
+fn parse_target(options: &DownstreamOptions, path: &str) -> Result<Target, RequestError> {
     let mut segments = path
         .strip_prefix('/')
         .ok_or(RequestError::NoPath)?
@@ -191,7 +191,7 @@
     }
 }
 
-fn parse_tenant(options: &Options, headers: &HeaderMap) -> Result<usize, RequestError> {
+fn parse_tenant(options: &DownstreamOptions, headers: &HeaderMap) -> Result<usize, RequestError> {
     if options.tenants.is_empty() {
         return Ok(0);
     }
--- a/crates/node/src/downstream/response.rs
+++ b/crates/node/src/downstream/response.rs
@@ -1,7 +1,7 @@
 //! The responses that clients get.
 
 use super::request_error::RequestError;
-use crate::message::FinalAnswer;
+use crate::message::FinalResponse;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{HeaderValue, RETRY_AFTER};
@@ -31,13 +31,13 @@
     response
 }
 
-/// The response that carries a final answer.
-pub fn final_answer(answer: FinalAnswer) -> FullResponse {
+/// The response that carries a final response.
+pub fn final_response(answer: FinalResponse) -> FullResponse {
     match answer {
-        FinalAnswer::Served(body) => with_body(StatusCode::OK, body),
-        FinalAnswer::Shed(retry_after) => shed(retry_after),
-        FinalAnswer::Failed => empty(StatusCode::BAD_GATEWAY),
-        FinalAnswer::TimedOut => empty(StatusCode::GATEWAY_TIMEOUT),
+        FinalResponse::Served(body) => with_body(StatusCode::OK, body),
+        FinalResponse::Shed(retry_after) => shed(retry_after),
+        FinalResponse::Failed => empty(StatusCode::BAD_GATEWAY),
+        FinalResponse::TimedOut => empty(StatusCode::GATEWAY_TIMEOUT),
     }
 }
 
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -1,11 +1,11 @@
-//! The dispatcher, the only owner of the [`Balancer`]. Its loop passes events to the balancer and
+//! The driver, the only owner of the [`Balancer`]. Its loop passes events to the balancer and
 //! carries out the actions that come back; it decides nothing itself. Its [`RequestTable`] alone
-//! gives final answers, and gives each request exactly one.
+//! gives final responses, and gives each request exactly one.
 
 use crate::clock::Clock;
 use crate::logging::{log, log_peer};
 use crate::message::{
-    AttemptResult, DiscoveryCommand, EndpointListUpdate, FinalAnswer, HealthCheckResult,
+    AttemptResult, DiscoveryCommand, EndpointListUpdate, FinalResponse, HealthCheckResult,
     IncomingRequest, Message, StopReason,
 };
 use crate::request_table::{NewAttempt, RequestTable, Timer};
@@ -19,8 +19,8 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep_until;
 
-/// The options of the dispatcher.
-pub struct DispatcherOptions {
+/// The options of the driver.
+pub struct DriverOptions {
     /// The balancer's settings.
     pub settings: Settings,
     /// The seed of the balancer's random choices.
@@ -28,11 +28,11 @@
 }
 
 /// Runs the balancer, and carries out what it decides.
-pub struct Dispatcher {
+pub struct Driver {
     clock: Clock,
     balancer: Balancer,
     upstream: Rc<Upstream>,
-    /// To the dispatcher itself, for the tasks that it spawns.
+    /// To the driver itself, for the tasks that it spawns.
     messages: mpsc::Sender<Message>,
     discovery: mpsc::Sender<DiscoveryCommand>,
     tick: Duration,
@@ -40,17 +40,17 @@
     requests: RequestTable,
 }
 
-impl Dispatcher {
-    /// A dispatcher without requests. `messages` leads to the inbox that it will be run with.
+impl Driver {
+    /// A driver without requests. `messages` leads to the inbox that it will be run with.
     pub fn new(
         clock: Clock,
-        options: DispatcherOptions,
+        options: DriverOptions,
         upstream: Rc<Upstream>,
         messages: mpsc::Sender<Message>,
         discovery: mpsc::Sender<DiscoveryCommand>,
     ) -> Self {
         let settings = options.settings;
-        Dispatcher {
+        Driver {
             clock,
             upstream,
             messages,
@@ -136,10 +136,10 @@
         let Some(attempt) = self.requests.attempt_ended(id, number) else {
             return;
         };
-        // The first response that was served is the final answer; a later one only informs the
+        // The first response that was served is the final response; a later one only informs the
         // balancer.
         let answers_now = match body {
-            Some(body) => self.requests.answer(id, FinalAnswer::Served(body)),
+            Some(body) => self.requests.answer(id, FinalResponse::Served(body)),
             None => false,
         };
         self.on_event(Event::AttemptEnded(AttemptEnd {
@@ -191,9 +191,9 @@
 
     /// Whatever the balancer does, no request is left without an answer at its deadline.
     fn on_deadline(&mut self, id: RequestId) {
-        if self.requests.answer(id, FinalAnswer::TimedOut) {
+        if self.requests.answer(id, FinalResponse::TimedOut) {
             log_peer(format_args!(
-                "request {}: deadline exceeded without a final answer",
+                "request {}: deadline exceeded without a final response",
                 id.0
             ));
             self.on_event(Event::ClientDisconnected { id });
@@ -225,10 +225,10 @@
                 return self.start_attempt(id, endpoint, timeout);
             }
             Action::Shed { id, retry_after } => {
-                self.requests.answer(id, FinalAnswer::Shed(retry_after));
+                self.requests.answer(id, FinalResponse::Shed(retry_after));
             }
             Action::Fail { id } => {
-                self.requests.answer(id, FinalAnswer::Failed);
+                self.requests.answer(id, FinalResponse::Failed);
             }
             Action::CancelAttempt { id, attempt } => {
                 self.requests
@@ -302,7 +302,7 @@
         let messages = self.messages.clone();
         spawn_local(async move {
             let result = upstream.run_attempt(attempt, stopped).await;
-            // Fails only when the dispatcher has ended.
+            // Fails only when the driver has ended.
             let _ = messages.send(Message::AttemptEnded(result)).await;
         });
     }
--- a/crates/node/src/driver/tests.rs
+++ b/crates/node/src/driver/tests.rs
@@ -15,8 +15,8 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
-fn is_shed(answer: &FinalAnswer) -> bool {
-    matches!(answer, FinalAnswer::Shed(Some(after)) if *after == Duration::from_millis(500))
+fn is_shed(answer: &FinalResponse) -> bool {
+    matches!(answer, FinalResponse::Shed(Some(after)) if *after == Duration::from_millis(500))
 }
 
 #[test]
@@ -109,7 +109,7 @@
                 .request_and_advance(SUBMIT, "ok", Duration::from_millis(1))
                 .await;
             assert_eq!(host.usage().0.requests, 1, "it is held");
-            host.dispatcher
+            host.driver
                 .on_message(Message::EndpointList(EndpointListUpdate {
                     kind: ListKind::Snapshot,
                     endpoints: vec![],
@@ -120,7 +120,7 @@
             } else {
                 Action::Fail { id }
             };
-            host.dispatcher.execute(action);
+            host.driver.execute(action);
             assert!(answer.await.is_ok());
             assert_eq!(host.usage(), before);
         }
@@ -142,7 +142,7 @@
                 .await;
             assert_eq!(host.usage().0.requests, 1, "it has an attempt out");
             let answer = host.run(async |_| answer.await.expect("an answer")).await;
-            assert!(!matches!(answer, FinalAnswer::Served(_)), "{answer:?}");
+            assert!(!matches!(answer, FinalResponse::Served(_)), "{answer:?}");
             host.run(async |_| sleep(SETTLED).await).await;
             assert_eq!(host.usage(), before);
         }
@@ -161,7 +161,7 @@
             .await;
         assert_eq!(host.usage().1, BODY);
         // The table alone, so that the attempt is not cancelled at once.
-        assert!(host.dispatcher.requests.abandon(id));
+        assert!(host.driver.requests.abandon(id));
         let (usage, bytes) = host.usage();
         assert_eq!((usage.requests, bytes), (1, 0));
     });
@@ -286,12 +286,12 @@
     }
 }
 
-async fn count(answer: oneshot::Receiver<FinalAnswer>, endings: Endings) {
+async fn count(answer: oneshot::Receiver<FinalResponse>, endings: Endings) {
     let ending = match answer.await {
-        Ok(FinalAnswer::Served(_)) => "served",
-        Ok(FinalAnswer::Shed(_)) => "refused",
-        Ok(FinalAnswer::Failed) => "failed",
-        Ok(FinalAnswer::TimedOut) => "timed out",
+        Ok(FinalResponse::Served(_)) => "served",
+        Ok(FinalResponse::Shed(_)) => "refused",
+        Ok(FinalResponse::Failed) => "failed",
+        Ok(FinalResponse::TimedOut) => "timed out",
         Err(_) => "never answered",
     };
     *endings.borrow_mut().entry(ending).or_default() += 1;
--- a/crates/node/src/driver/tests/host.rs
+++ b/crates/node/src/driver/tests/host.rs
@@ -1,4 +1,4 @@
-//! A dispatcher under test with the parts around it, in virtual time.
+//! A driver under test with the parts around it, in virtual time.
 
 use super::super::*;
 use crate::config::Config;
@@ -47,9 +47,9 @@
     Config::parse(&text).expect("a valid configuration")
 }
 
-/// A dispatcher under test, and the parts around it.
+/// A driver under test, and the parts around it.
 pub struct Host {
-    pub dispatcher: Dispatcher,
+    pub driver: Driver,
     inbox: mpsc::Receiver<Message>,
     peers: Peers,
 }
@@ -73,10 +73,10 @@
             crate::startup::upstream_options(config),
             budget.clone(),
         );
-        let options = crate::startup::dispatcher_options(config);
-        let dispatcher = Dispatcher::new(clock, options, upstream, messages.clone(), discovery);
+        let options = crate::startup::driver_options(config);
+        let driver = Driver::new(clock, options, upstream, messages.clone(), discovery);
         Host {
-            dispatcher,
+            driver,
             inbox,
             peers: Peers {
                 clock,
@@ -87,10 +87,10 @@
         }
     }
 
-    /// Runs the dispatcher until `scenario` has ended.
+    /// Runs the driver until `scenario` has ended.
     pub async fn run<T>(&mut self, scenario: impl AsyncFnOnce(&Peers) -> T) -> T {
         tokio::select! {
-            () = self.dispatcher.run(&mut self.inbox) => panic!("the node ended"),
+            () = self.driver.run(&mut self.inbox) => panic!("the node ended"),
             result = scenario(&self.peers) => result,
         }
     }
@@ -101,7 +101,7 @@
         class: usize,
         script: &str,
         time: Duration,
-    ) -> (RequestId, oneshot::Receiver<FinalAnswer>) {
+    ) -> (RequestId, oneshot::Receiver<FinalResponse>) {
         self.run(async |peers| {
             let request = peers.request(class, script, DEADLINE).await;
             sleep(time).await;
@@ -110,20 +110,16 @@
         .await
     }
 
-    /// What every table of the node holds: the dispatcher's, the balancer's and the pool's.
+    /// What every table of the node holds: the driver's, the balancer's and the pool's.
     pub fn all_usage(&self) -> ((Usage, usize), TableSizes, crate::upstream::pool::Usage) {
-        let balancer = self.dispatcher.balancer.table_sizes();
-        (
-            self.usage(),
-            balancer,
-            self.dispatcher.upstream.pool_usage(),
-        )
+        let balancer = self.driver.balancer.table_sizes();
+        (self.usage(), balancer, self.driver.upstream.pool_usage())
     }
 
     /// Requests, timers, and the bytes of the memory budget that are in use.
     pub fn usage(&self) -> (Usage, usize) {
         (
-            self.dispatcher.requests.usage(),
+            self.driver.requests.usage(),
             BUDGET - self.peers.budget.free(),
         )
     }
@@ -149,7 +145,7 @@
         class: usize,
         script: &str,
         remaining: Duration,
-    ) -> (RequestId, oneshot::Receiver<FinalAnswer>) {
+    ) -> (RequestId, oneshot::Receiver<FinalResponse>) {
         self.last_id.set(self.last_id.get() + 1);
         let id = RequestId(self.last_id.get());
         let now = self.clock.now();
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,16 +1,16 @@
 //! One node: clients downstream, endpoints upstream, discovery for the list of endpoints, and
-//! between them the dispatcher, which owns the balancer.
+//! between them the driver, which owns the balancer.
 //!
 //! Dependencies run one way. [`startup`] builds all parts from the configuration, which only it and
-//! [`reload`] know. [`dispatcher`] starts attempts through [`upstream`]; otherwise [`downstream`],
-//! [`dispatcher`], [`upstream`] and [`discovery`] depend only on what they share: [`message`],
+//! [`reload`] know. [`driver`] starts attempts through [`upstream`]; otherwise [`downstream`],
+//! [`driver`], [`upstream`] and [`discovery`] depend only on what they share: [`message`],
 //! [`limits`], [`socket`], [`memory_budget`], [`clock`] and [`logging`].
 
 mod clock;
 mod config;
 mod discovery;
-mod dispatcher;
 mod downstream;
+mod driver;
 mod limits;
 mod logging;
 mod memory_budget;
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// A message to the dispatcher.
+/// A message to the driver.
 pub enum Message {
     /// A client's request has been read and admitted.
     Request(Box<IncomingRequest>),
@@ -24,7 +24,7 @@
     HealthCheckEnded(HealthCheckResult),
     /// The endpoint list has changed, or could not be fetched.
     EndpointList(EndpointListUpdate),
-    /// The node ends: every request in flight gets its final answer now.
+    /// The node ends: every request in flight gets its final response now.
     Shutdown,
 }
 
@@ -36,13 +36,13 @@
     pub received: Duration,
     /// What its attempts forward.
     pub forward: ForwardedRequest,
-    /// Where its final answer goes.
-    pub reply: oneshot::Sender<FinalAnswer>,
+    /// Where its final response goes.
+    pub reply: oneshot::Sender<FinalResponse>,
 }
 
-/// The one final answer to a request.
+/// The one final response to a request.
 #[derive(Debug)]
-pub enum FinalAnswer {
+pub enum FinalResponse {
     /// An endpoint's response body.
     Served(Bytes),
     /// Rejected; the client may safely retry, after this delay if it is given one.
@@ -75,7 +75,7 @@
 }
 
 impl ForwardedRequest {
-    /// The body to be sent; `None` once the request has its final answer or its client has
+    /// The body to be sent; `None` once the request has its final response or its client has
     /// disconnected: then nothing more is sent for it.
     pub fn body(&self) -> Option<Bytes> {
         self.body.borrow().clone()
--- a/crates/node/src/request_table.rs
+++ b/crates/node/src/request_table.rs
@@ -4,7 +4,7 @@
 //! answer and all its attempts have ended, it leaves together with its timers, whichever event came
 //! last. No caller has to remember that.
 
-use crate::message::{FinalAnswer, ForwardedRequest, StopReason};
+use crate::message::{FinalResponse, ForwardedRequest, StopReason};
 use ottertiller_balancer::{EndpointId, RequestId};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -14,8 +14,8 @@
 /// A request and its attempts.
 struct InFlightRequest {
     forward: Rc<ForwardedRequest>,
-    /// Where the final answer goes; `None` once it has been sent or the client has disconnected.
-    reply: Option<oneshot::Sender<FinalAnswer>>,
+    /// Where the final response goes; `None` once it has been sent or the client has disconnected.
+    reply: Option<oneshot::Sender<FinalResponse>>,
     /// In the order of their start: an attempt's number is its position.
     attempts: Vec<AttemptEntry>,
     /// Its pending timers, which leave with it: a deadline may be minutes away.
@@ -59,7 +59,7 @@
     pub endpoint: EndpointId,
     /// When it started.
     pub started: Duration,
-    /// Whether the request had its final answer before this attempt ended.
+    /// Whether the request had its final response before this attempt ended.
     pub was_answered: bool,
 }
 
@@ -78,7 +78,7 @@
     Refused {
         /// The number it has.
         number: u32,
-        /// Whether the request has its final answer.
+        /// Whether the request has its final response.
         is_answered: bool,
     },
 }
@@ -124,7 +124,7 @@
     pub timers: usize,
 }
 
-/// The requests in flight, which have no final answer or an attempt that has not ended, and all
+/// The requests in flight, which have no final response or an attempt that has not ended, and all
 /// pending timers.
 #[derive(Default)]
 pub struct RequestTable {
@@ -134,12 +134,12 @@
 }
 
 impl RequestTable {
-    /// Adds a request, which is owed a final answer.
+    /// Adds a request, which is owed a final response.
     pub fn insert(
         &mut self,
         id: RequestId,
         forward: ForwardedRequest,
-        reply: oneshot::Sender<FinalAnswer>,
+        reply: oneshot::Sender<FinalResponse>,
     ) {
         let request = InFlightRequest {
             forward: Rc::new(forward),
@@ -150,8 +150,8 @@
         self.requests.insert(id, request);
     }
 
-    /// Sends the final answer: nothing else does. Returns false if none is owed any more.
-    pub fn answer(&mut self, id: RequestId, answer: FinalAnswer) -> bool {
+    /// Sends the final response: nothing else does. Returns false if none is owed any more.
+    pub fn answer(&mut self, id: RequestId, answer: FinalResponse) -> bool {
         let Some(reply) = self.take_reply(id) else {
             return false;
         };
@@ -165,7 +165,7 @@
         self.take_reply(id).is_some()
     }
 
-    fn take_reply(&mut self, id: RequestId) -> Option<oneshot::Sender<FinalAnswer>> {
+    fn take_reply(&mut self, id: RequestId) -> Option<oneshot::Sender<FinalResponse>> {
         let request = self.requests.get_mut(&id)?;
         let reply = request.reply.take()?;
         request.forward.close();
@@ -245,7 +245,7 @@
         }
     }
 
-    /// The requests that are still owed a final answer.
+    /// The requests that are still owed a final response.
     pub fn unanswered(&self) -> Vec<RequestId> {
         let unanswered = self
             .requests
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -4,8 +4,8 @@
 use crate::clock::Clock;
 use crate::config::{Config, ConfigError};
 use crate::discovery::{self, Discovery};
-use crate::dispatcher::{Dispatcher, DispatcherOptions};
 use crate::downstream::{self, Downstream};
+use crate::driver::{Driver, DriverOptions};
 use crate::logging::log;
 use crate::memory_budget::Budget;
 use crate::reload::reload_on_signal;
@@ -20,9 +20,9 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::{JoinError, spawn_local};
 
-/// The capacity of the dispatcher's inbox. Each request in flight reserves a slot for its client's
+/// The capacity of the driver's inbox. Each request in flight reserves a slot for its client's
 /// disconnect.
-const DISPATCHER_INBOX: usize = 4096;
+const DRIVER_INBOX: usize = 4096;
 /// The capacity of discovery's inbox.
 const DISCOVERY_INBOX: usize = 16;
 
@@ -50,9 +50,9 @@
     /// The listener's local address is not known.
     #[error("cannot listen: {0}")]
     LocalAddress(#[source] io::Error),
-    /// The dispatcher's task has ended.
-    #[error("the dispatcher task ended: {0:?}")]
-    DispatcherEnded(Result<(), JoinError>),
+    /// The driver's task has ended.
+    #[error("the driver task ended: {0:?}")]
+    DriverEnded(Result<(), JoinError>),
     /// Discovery's task has ended.
     #[error("the discovery task ended: {0:?}")]
     DiscoveryEnded(Result<(), JoinError>),
@@ -79,17 +79,17 @@
     signals: Signals,
 ) -> Result<(), NodeError> {
     let clock = Clock::start();
-    let (messages, mut inbox) = mpsc::channel(DISPATCHER_INBOX);
+    let (messages, mut inbox) = mpsc::channel(DRIVER_INBOX);
     let (discovery_commands, discovery_inbox) = mpsc::channel(DISCOVERY_INBOX);
     let (address_sender, discovery_address) = watch::channel(config.discovery);
     let budget = Budget::new(config.body_bytes);
     let upstream = Upstream::start(clock, upstream_options(&config), budget.clone());
     let discovery = Discovery::new(discovery_options(&config), messages.clone());
     let is_ready = discovery.ready();
-    let dispatcher_options = dispatcher_options(&config);
-    let mut dispatcher = Dispatcher::new(
+    let driver_options = driver_options(&config);
+    let mut driver = Driver::new(
         clock,
-        dispatcher_options,
+        driver_options,
         upstream,
         messages.clone(),
         discovery_commands,
@@ -102,7 +102,7 @@
         is_ready,
     );
 
-    let mut dispatcher = spawn_local(async move { dispatcher.run(&mut inbox).await });
+    let mut driver = spawn_local(async move { driver.run(&mut inbox).await });
     let mut discovery = spawn_local(discovery.run(discovery_inbox, discovery_address));
     spawn_local(reload_on_signal(
         signals.reload,
@@ -114,20 +114,20 @@
 
     tokio::select! {
         () = downstream.run(listener, signals.shutdown.recv()) => Ok(()),
-        result = &mut dispatcher => Err(NodeError::DispatcherEnded(result)),
+        result = &mut driver => Err(NodeError::DriverEnded(result)),
         result = &mut discovery => Err(NodeError::DiscoveryEnded(result)),
     }
 }
 
-/// What the dispatcher takes from the configuration.
-pub fn dispatcher_options(config: &Config) -> DispatcherOptions {
-    DispatcherOptions {
+/// What the driver takes from the configuration.
+pub fn driver_options(config: &Config) -> DriverOptions {
+    DriverOptions {
         settings: config.settings_file.settings.clone(),
         seed: config.seed,
     }
 }
 
-fn downstream_options(config: &Config) -> downstream::Options {
+fn downstream_options(config: &Config) -> downstream::DownstreamOptions {
     let names = config.settings_file.class_names.iter();
     let classes = names
         .zip(&config.settings_file.settings.classes)
@@ -136,7 +136,7 @@
             idempotency: class.idempotency,
             deadline: class.deadline,
         });
-    downstream::Options {
+    downstream::DownstreamOptions {
         max_connections: config.client_connections,
         classes: classes.collect(),
         tenants: config.settings_file.tenant_names.clone(),
@@ -145,14 +145,14 @@
 }
 
 /// What the upstream side takes from the configuration.
-pub fn upstream_options(config: &Config) -> upstream::Options {
-    let pool = upstream::pool::Options {
+pub fn upstream_options(config: &Config) -> upstream::UpstreamOptions {
+    let pool = upstream::pool::PoolOptions {
         max_connections: config.endpoint_connections,
         connect_timeout: config.settings_file.settings.limits.connect_timeout,
         endpoint_idle_timeout: config.settings_file.endpoint_idle_timeout,
         response_cooldown: RESPONSE_COOLDOWN,
     };
-    upstream::Options {
+    upstream::UpstreamOptions {
         pool,
         load_report_source: config.settings_file.settings.load_reports,
         load_report_columns: config.settings_file.load_report_columns.clone(),
@@ -160,9 +160,9 @@
 }
 
 /// What discovery takes from the configuration.
-pub fn discovery_options(config: &Config) -> discovery::Options {
+pub fn discovery_options(config: &Config) -> discovery::DiscoveryOptions {
     let file = &config.settings_file;
-    discovery::Options {
+    discovery::DiscoveryOptions {
         address: config.discovery,
         cached_list: config.cached_list.clone(),
         seed: config.seed,
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -103,7 +103,7 @@
     }
 }
 
-/// How an attempt that was stopped ended; the reason is missing if the dispatcher has forgotten the
+/// How an attempt that was stopped ended; the reason is missing if the driver has forgotten the
 /// attempt.
 fn outcome_of_stop(reason: Result<StopReason, RecvError>, written: bool) -> Outcome {
     if !written {
--- a/crates/node/src/upstream/attempt/tests.rs
+++ b/crates/node/src/upstream/attempt/tests.rs
@@ -86,7 +86,7 @@
     let late = outcome_after(|_, attempt, _, now| attempt.expires_at = now);
     assert_eq!(late, nothing(), "its time is over");
     let over = outcome_after(|_, attempt, _, _| attempt.forward.close());
-    assert_eq!(over, nothing(), "the request has its final answer");
+    assert_eq!(over, nothing(), "the request has its final response");
     let forgotten =
         outcome_after(|_, attempt, _, now| attempt.forward.first_byte.set(Some(now - 2 * MINUTE)));
     assert_eq!(
--- a/crates/node/src/upstream/mod.rs
+++ b/crates/node/src/upstream/mod.rs
@@ -18,9 +18,9 @@
 
 /// The options of the upstream side.
 #[derive(Clone, Debug)]
-pub struct Options {
+pub struct UpstreamOptions {
     /// The options of the connection pool.
-    pub pool: pool::Options,
+    pub pool: pool::PoolOptions,
     /// How endpoints report their load.
     pub load_report_source: LoadReportSource,
     /// The columns of load reports that are taken in.
@@ -38,7 +38,7 @@
 
 impl Upstream {
     /// An upstream side that knows no endpoint yet.
-    pub fn start(clock: Clock, options: Options, budget: Budget) -> Rc<Self> {
+    pub fn start(clock: Clock, options: UpstreamOptions, budget: Budget) -> Rc<Self> {
         Rc::new(Upstream {
             clock,
             budget,
--- a/crates/node/src/upstream/pool/mod.rs
+++ b/crates/node/src/upstream/pool/mod.rs
@@ -35,7 +35,7 @@
 
 /// The options of the pool.
 #[derive(Clone, Debug)]
-pub struct Options {
+pub struct PoolOptions {
     /// The most connections that may be open at once, dials under way included.
     pub max_connections: usize,
     /// How long a dial may take.
@@ -59,7 +59,7 @@
 /// The pool, shared by all attempts and health checks.
 pub struct Pool {
     clock: Clock,
-    options: Options,
+    options: PoolOptions,
     /// How long a connection may be idle.
     idle_timeout: Duration,
     limit: ConnectionLimit,
@@ -68,7 +68,7 @@
 
 impl Pool {
     /// A pool that knows no endpoint yet, and its task that closes idle connections.
-    pub fn start(clock: Clock, options: Options) -> Rc<Self> {
+    pub fn start(clock: Clock, options: PoolOptions) -> Rc<Self> {
         let pool = Rc::new(Pool {
             clock,
             // A request written just when the endpoint closes the connection would end as a reset.
--- a/crates/node/src/upstream/pool/tests.rs
+++ b/crates/node/src/upstream/pool/tests.rs
@@ -39,8 +39,8 @@
 
 const MAX_CONNECTIONS: usize = 16;
 
-fn options(response_cooldown: Duration) -> Options {
-    Options {
+fn options(response_cooldown: Duration) -> PoolOptions {
+    PoolOptions {
         max_connections: MAX_CONNECTIONS,
         connect_timeout: Duration::from_millis(250),
         endpoint_idle_timeout: Duration::from_secs(15),
--- a/crates/node/src/upstream/request.rs
+++ b/crates/node/src/upstream/request.rs
@@ -15,7 +15,7 @@
 
 impl Attempt {
     /// The request as it is written at `now`, if it still may be: not past its time, not once
-    /// endpoints have forgotten its idempotency key, and not once it has its final answer.
+    /// endpoints have forgotten its idempotency key, and not once it has its final response.
     pub(super) fn request(
         &self,
         now: Duration,
