--- /dev/null
+++ b/crates/balancer/src/settings/schema/load_report.rs
@@ -0,0 +1,33 @@
+//! How endpoints report their load (`LoadReport`).
+
+use crate::settings::model::LoadReportSource;
+use crate::settings::report_column::Column;
+use serde::Deserialize;
+
+/// How endpoints report their load.
+#[derive(Default, Deserialize)]
+#[serde(rename_all = "PascalCase", default)]
+pub struct LoadReportSchema {
+    pub columns: Vec<Column>,
+    pub via: ViaSchema,
+}
+
+/// What load reports come with.
+#[derive(Default, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub enum ViaSchema {
+    Piggyback,
+    Pull,
+    #[default]
+    Silent,
+}
+
+impl From<&ViaSchema> for LoadReportSource {
+    fn from(schema: &ViaSchema) -> Self {
+        match schema {
+            ViaSchema::Piggyback => LoadReportSource::Responses,
+            ViaSchema::Pull => LoadReportSource::HealthChecks,
+            ViaSchema::Silent => LoadReportSource::None,
+        }
+    }
+}
