--- a/crates/balancer/src/action.rs
+++ b/crates/balancer/src/action.rs
@@ -1,11 +1,11 @@
-//! What a [`Balancer`](crate::Balancer) tells its host to do.
+//! The actions that a [`Balancer`](crate::Balancer) asks of its host.
 
 use crate::endpoint::EndpointId;
 use crate::request::RequestId;
 use crate::timer::Timer;
 use std::time::Duration;
 
-/// Something the host is to do. Actions are carried out in the order given.
+/// An action for the host to take. Actions are taken in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
@@ -14,43 +14,43 @@
         id: RequestId,
         /// The endpoint to send it to.
         endpoint: EndpointId,
-        /// How long to wait for its response.
+        /// How long to wait for the response.
         timeout: Duration,
     },
-    /// Final answer: shed. The client may safely retry.
+    /// Give the final response: the request is shed, and the client may safely retry it.
     Shed {
         /// The request.
         id: RequestId,
         /// How long the client should wait before it tries again.
         retry_after: Option<Duration>,
     },
-    /// Final answer: failed. The request may have run.
+    /// Give the final response: the request has failed, and may have run.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt: its end is still reported.
     CancelAttempt {
         /// The request.
         id: RequestId,
-        /// The number of the attempt.
+        /// The number of the attempt, in the order of sending, from 0.
         attempt: u32,
     },
     /// Set a timer: an [`Event::Timer`](crate::Event::Timer) arrives when it expires.
     SetTimer {
-        /// When, from now.
+        /// The time until it expires.
         after: Duration,
         /// What it is for.
         timer: Timer,
     },
     /// Send a health check to an endpoint.
     HealthCheck {
-        /// The endpoint.
+        /// The endpoint to check.
         endpoint: EndpointId,
     },
     /// Subscribe to changes of the endpoint list, or end the subscription.
     Subscribe {
-        /// On or off.
+        /// Whether to subscribe or to end the subscription.
         enabled: bool,
     },
 }
--- a/crates/balancer/src/endpoint.rs
+++ b/crates/balancer/src/endpoint.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// Names an endpoint in the endpoint list. The number carries no meaning.
+/// The identity of an endpoint in the endpoint list. The number carries no meaning.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u64);
 
@@ -21,48 +21,48 @@
 /// One endpoint of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EndpointEntry {
-    /// Its identity.
+    /// The id of the endpoint.
     pub id: EndpointId,
-    /// The zone it is in.
+    /// The number of the zone that it is in.
     pub zone: u8,
-    /// Its machine type.
+    /// The number of its machine type.
     pub machine_type: u8,
-    /// Its cell.
+    /// The number of its cell, a part of its zone.
     pub cell: u16,
-    /// Its state.
+    /// Whether it accepts requests.
     pub state: EndpointState,
-    /// Its capacity relative to the weights of other endpoints.
+    /// Its capacity, in proportion to the weights of other endpoints.
     pub weight: f32,
-    /// When it last started; `None` if long ago.
+    /// When it last started, on the clock of the host's events; `None` if long ago.
     pub started: Option<Duration>,
 }
 
-/// What an endpoint list event carries.
+/// How the entries of an endpoint list event relate to the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed entries only.
+    /// They are the changed ones.
     Delta,
-    /// The whole list.
+    /// They are the whole list.
     Snapshot,
-    /// The whole list as it was cached before this node restarted; may be out of date.
+    /// They are the whole list as it was cached before this node restarted, and may be out of date.
     Cached,
-    /// A call to discovery failed, or the subscription broke. No entries.
+    /// There are none: a call to discovery failed, or the subscription ended.
     Failed,
 }
 
 /// An endpoint's own report of its load. Reports lag and are noisy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests in flight at it.
+    /// The requests in flight at the endpoint.
     pub in_flight: Option<f32>,
-    /// Requests waiting in its queue.
+    /// The requests that wait in its queue.
     pub queue: Option<f32>,
-    /// The fraction of its processors in use.
+    /// The fraction of its processors in use, from 0 to 1.
     pub utilisation: Option<f32>,
-    /// Its recent service time in milliseconds.
+    /// Its recent mean service time, in milliseconds.
     pub latency_ms: Option<f32>,
-    /// Responses per second.
+    /// Its responses per second.
     pub throughput: Option<f32>,
-    /// Errors per second.
+    /// Its errors per second.
     pub errors: Option<f32>,
 }
--- a/crates/balancer/src/endpoints/endpoint.rs
+++ b/crates/balancer/src/endpoints/endpoint.rs
@@ -10,27 +10,27 @@
 /// A listed endpoint.
 #[derive(Default)]
 pub struct Endpoint {
-    /// Its entry in the endpoint list.
+    /// The entry in the endpoint list.
     pub entry: EndpointEntry,
-    /// When it started, on this node's own clock; `None` if long ago.
+    /// When the endpoint started, on this node's own clock; `None` if long ago.
     pub started: Option<Duration>,
-    /// This node's attempts in flight.
+    /// The number of this node's attempts in flight there.
     pub in_flight: u32,
     /// Whether a health check is in flight.
     pub check_in_flight: bool,
-    /// Its count for Join-Up-To(m).
+    /// The count of sends for Join-Up-To(m).
     pub sends: SendCount,
-    /// The load that it reported last.
+    /// The load that the endpoint reported last.
     pub reported_load: Option<ReportedLoad>,
-    /// Its failures and ejections.
+    /// The failures and ejections of the endpoint.
     pub health: Health,
-    /// Its permit for a request while it starts.
+    /// The permit for a request while the endpoint starts.
     pub permit: Permit,
 }
 
 impl Endpoint {
-    /// An endpoint that has just been listed or has restarted, with the send count that it starts
-    /// with.
+    /// Returns an endpoint that has just been listed or has restarted, with the send count that it
+    /// starts with.
     pub fn newly_listed(
         entry: EndpointEntry,
         started: Option<Duration>,
--- a/crates/balancer/src/endpoints/endpoint_set.rs
+++ b/crates/balancer/src/endpoints/endpoint_set.rs
@@ -9,12 +9,12 @@
 pub struct EndpointSet {
     by_id: BTreeMap<EndpointId, Endpoint>,
     ready: Ring,
-    /// Whether any list has had endpoints: what appears after that was absent before.
+    /// Whether any list so far has had endpoints.
     has_listed_endpoints: bool,
 }
 
 impl EndpointSet {
-    /// No endpoints yet.
+    /// Returns an empty set.
     pub fn new(settings: &Settings) -> Self {
         EndpointSet {
             by_id: BTreeMap::new(),
@@ -23,32 +23,32 @@
         }
     }
 
-    /// A listed endpoint.
+    /// Returns a listed endpoint.
     pub fn get(&self, id: EndpointId) -> Option<&Endpoint> {
         self.by_id.get(&id)
     }
 
-    /// A listed endpoint, to be changed.
+    /// Returns a listed endpoint, to be changed.
     pub fn get_mut(&mut self, id: EndpointId) -> Option<&mut Endpoint> {
         self.by_id.get_mut(&id)
     }
 
-    /// How many endpoints are listed.
+    /// Returns the number of listed endpoints.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// How many of them are ready.
+    /// Returns the number of listed endpoints that are ready.
     pub fn ready_count(&self) -> usize {
         self.ready.len()
     }
 
-    /// The ready endpoints in the order of the ring, from this node's place on.
+    /// Returns the ready endpoints in the order of the ring, from this node's place on.
     pub fn ring(&self) -> impl Iterator<Item = &Endpoint> {
         self.ready.iter().filter_map(|id| self.by_id.get(id))
     }
 
-    /// The mean send count of the next so many endpoints on the ring.
+    /// Returns the mean send count of the next so many endpoints on the ring.
     pub fn mean_send_count(&self, endpoints: usize) -> u32 {
         let endpoints = endpoints.min(self.ready.len());
         let sends: u32 = self
@@ -59,7 +59,8 @@
         sends / endpoints.max(1) as u32
     }
 
-    /// Whether any list so far has had endpoints: what appears after that was not listed before.
+    /// Returns whether any list so far has had endpoints. What appears after that was not listed
+    /// before.
     pub fn has_listed_endpoints(&self) -> bool {
         self.has_listed_endpoints
     }
--- a/crates/balancer/src/endpoints/permit.rs
+++ b/crates/balancer/src/endpoints/permit.rs
@@ -2,16 +2,16 @@
 
 use std::time::Duration;
 
-/// At most one permit, and when the last one was drawn for.
+/// A permit that an endpoint has or lacks, and when it was last drawn for.
 #[derive(Clone, Copy, Default)]
 pub struct Permit {
-    /// When it expires; in the past if there is none.
+    /// When the permit expires; in the past if there is none.
     expires: Duration,
     drawn_at: Duration,
 }
 
 impl Permit {
-    /// No permit; the first draw counts the time from `now`.
+    /// Returns no permit. The first draw counts the time from `now`.
     pub fn none(now: Duration) -> Self {
         Permit {
             expires: Duration::ZERO,
@@ -19,17 +19,17 @@
         }
     }
 
-    /// Whether there is one.
+    /// Returns whether there is a permit.
     pub fn is_valid(&self, now: Duration) -> bool {
         self.expires > now
     }
 
-    /// The time since the last draw.
+    /// Returns the time since the last draw.
     pub fn since_draw(&self, now: Duration) -> Duration {
         now.saturating_sub(self.drawn_at)
     }
 
-    /// Takes in a draw: one that is won gives a permit of this lifetime, unless there is one
+    /// Records a draw. One that is won gives a permit of this lifetime, unless there is one
     /// already.
     pub fn record_draw(&mut self, won: bool, lifetime: Duration, now: Duration) {
         if won && !self.is_valid(now) {
@@ -38,7 +38,7 @@
         self.drawn_at = now;
     }
 
-    /// The permit was used for a request.
+    /// Uses the permit for a request.
     pub fn consume(&mut self) {
         self.expires = Duration::ZERO;
     }
--- a/crates/balancer/src/endpoints/reported_load.rs
+++ b/crates/balancer/src/endpoints/reported_load.rs
@@ -3,7 +3,8 @@
 use crate::LoadReport;
 use std::time::Duration;
 
-/// The load that a report tells of: requests in flight, or waiting where that is all there is.
+/// Returns the load that a report tells of: the requests in flight, or, where that is missing,
+/// those that wait in the queue.
 pub fn reported_load(report: &LoadReport) -> Option<f64> {
     report.in_flight.or(report.queue).map(f64::from)
 }
@@ -11,13 +12,13 @@
 /// The last load that an endpoint reported.
 #[derive(Clone, Copy)]
 pub struct ReportedLoad {
-    /// The reported requests, and own sends since.
+    /// The reported requests, with own sends since.
     requests: f64,
     reported_at: Duration,
 }
 
 impl ReportedLoad {
-    /// A report of this many requests.
+    /// Returns a load of this many requests.
     pub fn new(requests: f64, reported_at: Duration) -> Self {
         ReportedLoad {
             requests,
@@ -25,17 +26,17 @@
         }
     }
 
-    /// The reported requests, and own sends since.
+    /// Returns the reported requests, with own sends since.
     pub fn requests(&self) -> f64 {
         self.requests
     }
 
-    /// When it was reported.
+    /// Returns when the load was reported.
     pub fn reported_at(&self) -> Duration {
         self.reported_at
     }
 
-    /// An attempt was sent there since the report.
+    /// Counts an attempt that was sent since the report.
     pub fn add_send(&mut self) {
         self.requests += 1.0;
     }
--- a/crates/balancer/src/endpoints/ring.rs
+++ b/crates/balancer/src/endpoints/ring.rs
@@ -4,7 +4,7 @@
 
 use crate::{EndpointId, Settings};
 
-/// The ready endpoints in the order of the ring, which is the same at all nodes.
+/// The ready endpoints, in an order that is the same at all nodes.
 pub struct Ring {
     ids: Vec<EndpointId>,
     node_index: usize,
@@ -12,7 +12,7 @@
 }
 
 impl Ring {
-    /// An empty ring, with this node's place on it.
+    /// Returns an empty ring, with this node's place on it.
     pub fn new(settings: &Settings) -> Self {
         Ring {
             ids: Vec::new(),
@@ -21,31 +21,31 @@
         }
     }
 
-    /// How many endpoints are on it.
+    /// Returns the number of endpoints on it.
     pub fn len(&self) -> usize {
         self.ids.len()
     }
 
-    /// Removes all.
+    /// Removes all endpoints.
     pub fn clear(&mut self) {
         self.ids.clear();
     }
 
-    /// Inserts an endpoint that may be there already.
+    /// Inserts an endpoint, unless it is there already.
     pub fn insert(&mut self, id: EndpointId) {
         if let Err(index) = self.search(id) {
             self.ids.insert(index, id);
         }
     }
 
-    /// Removes an endpoint that may be there.
+    /// Removes an endpoint, if it is there.
     pub fn remove(&mut self, id: EndpointId) {
         if let Ok(index) = self.search(id) {
             self.ids.remove(index);
         }
     }
 
-    /// All of them, from this node's place on.
+    /// Returns all endpoints, from this node's place on.
     pub fn iter(&self) -> impl Iterator<Item = &EndpointId> {
         let start = self.node_index % self.node_count * self.ids.len() / self.node_count;
         let (before, after) = self.ids.split_at(start);
@@ -58,7 +58,7 @@
     }
 }
 
-/// The position of an endpoint, by Fibonacci hashing: neighbouring ids fall far apart.
+/// Returns the position of an endpoint, by Fibonacci hashing: neighbouring ids fall far apart.
 fn position(id: EndpointId) -> u64 {
     const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
     id.0.wrapping_mul(GOLDEN_RATIO)
--- a/crates/balancer/src/settings/model.rs
+++ b/crates/balancer/src/settings/model.rs
@@ -9,48 +9,49 @@
 /// The settings of one node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How many nodes share the traffic, this one included; at least 1.
+    /// The number of nodes that share the traffic, this one included; at least 1.
     pub node_count: u32,
     /// This node's index among them, from 0.
     pub node_index: u32,
-    /// The zone this node is in.
+    /// The number of the zone that this node is in.
     pub zone: u8,
-    /// The request classes; events name them by position.
+    /// The request classes. Events name them by index; there is at least one.
     pub classes: Vec<RequestClass>,
-    /// The tenants; events name them by position. Empty where there are none.
+    /// The tenants. Events name them by index; empty where there are none.
     pub tenants: Vec<Tenant>,
     /// The priority weight of a request beyond its tenant's quota, as a fraction of its class's.
     pub over_quota_weight: f64,
-    /// Whether the goal counts units of work instead of requests.
+    /// Whether the objective counts units of work instead of requests.
     pub weight_by_work: bool,
     /// How endpoints report their load.
     pub load_reports: LoadReportSource,
-    /// What the site permits.
+    /// What the operators permit.
     pub limits: Limits,
     /// The parameters of the rules that must never be broken.
     pub rules: Rules,
-    /// What is deducted from the goal, as fractions of the service.
+    /// What is deducted from the objective, as fractions of the service.
     pub cost_weights: CostWeights,
-    /// The weights of the goal's parts.
+    /// The weights of the objective's parts.
     pub objective_weights: ObjectiveWeights,
     /// Whether the endpoint list must be polled; otherwise changes are pushed.
     pub poll_endpoints: bool,
-    /// The least time between two rounds of events, and so the precision of timers.
+    /// The least time between two rounds of events, which is the precision of timers.
     pub tick: Duration,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// A response within this time counts in full.
+    /// The time within which a response counts in full.
     pub latency_objective: Duration,
-    /// The objective is longer by this multiple of the request's own work, within the deadline.
+    /// The multiple of a request's own work by which its latency objective is longer, up to its
+    /// deadline.
     pub objective_stretch: f64,
-    /// How long a client waits in all, over all its retries.
+    /// How long a client waits in all, over all its own retries.
     pub deadline: Duration,
-    /// What a response within the objective counts for.
+    /// What a response within the latency objective counts for.
     pub priority_weight: f64,
-    /// The fraction of it that a response after the objective still counts for.
+    /// The fraction of the priority weight that a later response still counts for.
     pub late_weight: f64,
     /// How far a request may be retried once it may have run.
     pub idempotency: Idempotency,
@@ -89,27 +90,27 @@
 /// A tenant and its quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests per second within its quota, over all nodes.
+    /// The requests per second within its quota, over all nodes.
     pub quota_per_s: f64,
-    /// Its fraction of the service.
+    /// The fraction of the service within its quota.
     pub quota_share: f64,
 }
 
 /// Where load reports come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReportSource {
-    /// With responses, and with health check results.
+    /// They come with responses and with the results of health checks.
     Responses,
-    /// With health check results only.
+    /// They come with the results of health checks only.
     HealthChecks,
     /// There are none.
     None,
 }
 
-/// What the site permits.
+/// What the operators permit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// The most attempts for a request.
+    /// The most attempts at a request, hedged ones included.
     pub max_attempts: u32,
     /// Whether an attempt may be cancelled.
     pub cancel: bool,
@@ -117,9 +118,9 @@
     pub health_checks: bool,
     /// Whether two attempts of a request may be in flight at once (hedged requests).
     pub parallel_attempts: bool,
-    /// The longest `Retry-After` that clients obey; `None` if they know of none.
+    /// The longest `Retry-After` that clients obey; `None` if they do not know that header.
     pub max_retry_after: Option<Duration>,
-    /// A connection not established after this time has failed.
+    /// The time after which a connection that is not established has failed.
     pub connect_timeout: Duration,
 }
 
@@ -129,48 +130,48 @@
     /// How long after learning of it a node may still send to an endpoint that drains or was
     /// removed.
     pub drain_grace: Duration,
-    /// An endpoint starts with this fraction of its capacity, or more.
+    /// The fraction of its capacity that an endpoint has at least when it starts.
     pub initial_capacity: f64,
-    /// It has its whole capacity after this time at the latest.
+    /// The time from an endpoint's start after which it has its whole capacity at the latest.
     pub slow_start_window: Duration,
-    /// A starting endpoint fails when sent more than this multiple of its present capacity ...
+    /// The multiple of its present capacity beyond which a starting endpoint fails ...
     pub overload_factor: f64,
-    /// ... for this long.
+    /// ... if it is sent more than that for this long.
     pub overload_window: Duration,
-    /// Where the list is polled: the longest time without a poll or a subscription.
+    /// The longest time without a poll or a subscription, where the endpoint list is polled.
     pub poll_interval: Duration,
 }
 
-/// What is deducted from the goal.
+/// What is deducted from the objective, as fractions of the service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CostWeights {
-    /// One health check for each request costs this fraction of the service.
+    /// The cost of one health check for each request.
     pub health_check: f64,
-    /// An attempt that crosses zones, for each request.
+    /// The cost of one attempt to another zone for each request.
     pub cross_zone: f64,
-    /// Wasted work, as much as was asked for.
+    /// The cost of wasting as much work as was asked for.
     pub waste: f64,
-    /// All requests failing only after their objective.
+    /// The cost of all requests failing after their latency objective.
     pub late_failure: f64,
-    /// A new connection for each request and 100 connections open to each endpoint, together.
+    /// The cost of a new connection for each request and 100 open connections to each endpoint.
     pub connections: f64,
 }
 
-/// The weights of the goal's parts.
+/// The weights of the objective's parts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ObjectiveWeights {
-    /// The whole time.
+    /// The service over the whole time.
     pub whole: f64,
-    /// The worst time window.
+    /// The service in the worst time window.
     pub worst_window: f64,
-    /// The worst-served class.
+    /// The service of the worst-served class.
     pub worst_class: f64,
-    /// The worst-served tenant, within its quota.
+    /// The service of the worst-served tenant within its quota.
     pub worst_tenant: f64,
 }
 
 impl Settings {
-    /// Whether endpoints report their load to health checks, and only to them.
+    /// Returns whether endpoints report their load to health checks, and only to them.
     pub(crate) fn loads_are_polled(&self) -> bool {
         self.load_reports == LoadReportSource::HealthChecks && self.limits.health_checks
     }
--- a/crates/balancer/src/settings/report_column.rs
+++ b/crates/balancer/src/settings/report_column.rs
@@ -1,4 +1,4 @@
-//! The columns of a load report.
+//! The values that a load report may have.
 
 use crate::endpoint::LoadReport;
 use serde::Deserialize;
@@ -7,26 +7,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Column {
-    /// Requests in flight.
+    /// The requests in flight.
     Concurrent,
-    /// Requests waiting.
+    /// The requests that wait in the queue.
     Depth,
     /// The fraction of its processors in use.
     LoadShare,
-    /// The recent service time.
+    /// The recent mean service time, in milliseconds.
     MeanMs,
-    /// Responses per second.
+    /// The responses per second.
     Tps,
-    /// Errors per second.
+    /// The errors per second.
     ErrPs,
-    /// One that this version does not know.
+    /// A value that this version does not know.
     #[serde(other)]
     Unknown,
 }
 
 impl Column {
-    /// The column of this name in a load report header or a health check's body: the name that
-    /// settings files use, or that of the protocol.
+    /// Returns the column of this name in a load report header or a health check's body: the name
+    /// that settings files use, or that of the protocol.
     pub fn from_report_name(name: &str) -> Self {
         match name {
             "concurrent" | "inflight" => Column::Concurrent,
