--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -49,6 +49,14 @@
     declared_work.unwrap_or_default() >= tolerated
 }
 
+/// A request as admission control sees it.
+pub struct AdmissionRequest {
+    /// Its priority as a multiple of the mean request's.
+    pub priority: f64,
+    /// Its random draw, from 0 up to but not including 1.
+    pub draw: f64,
+}
+
 /// What a node has learned of the load at which endpoints respond in time.
 pub struct Admission {
     node_count: f64,
@@ -70,18 +78,15 @@
         }
     }
 
-    /// Returns whether an endpoint is likely to respond to a request in time; `draw` is the
-    /// request's random draw.
+    /// Returns whether an endpoint is likely to respond to a request in time.
     pub fn admits(
         &self,
         endpoint: &Endpoint,
         loads: &LoadSnapshot,
-        priority: f64,
-        draw: f64,
+        request: &AdmissionRequest,
     ) -> bool {
-        let is_probe = endpoint.in_flight == 0 && draw < PROBE_SHARE;
-        is_probe
-            || self.is_open(endpoint, loads) && self.admits_request(endpoint, loads, priority, draw)
+        let is_probe = endpoint.in_flight == 0 && request.draw < PROBE_SHARE;
+        is_probe || self.is_open(endpoint, loads) && self.admits_request(endpoint, loads, request)
     }
 
     fn is_open(&self, endpoint: &Endpoint, loads: &LoadSnapshot) -> bool {
@@ -95,11 +100,10 @@
         &self,
         endpoint: &Endpoint,
         loads: &LoadSnapshot,
-        priority: f64,
-        draw: f64,
+        request: &AdmissionRequest,
     ) -> bool {
         let reports_idle = loads.reported(endpoint).is_some_and(is_idle);
-        reports_idle || draw.powf(priority) <= self.admitted_share
+        reports_idle || request.draw.powf(request.priority) <= self.admitted_share
     }
 
     /// Records the end of an attempt that started at this load level.
--- a/crates/balancer/src/backoff.rs
+++ b/crates/balancer/src/backoff.rs
@@ -35,3 +35,6 @@
         self.wait.mul_f64(0.5 + random.unit() / 2.0)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer/src/balancer/routing.rs
+++ b/crates/balancer/src/balancer/routing.rs
@@ -6,7 +6,7 @@
 //! m, health checks may find an idle one; else it is one at random.
 
 use super::Balancer;
-use crate::admission::load_level;
+use crate::admission::{AdmissionRequest, load_level};
 use crate::endpoints::Endpoint;
 use crate::estimates::load_snapshot::LoadSnapshot;
 use crate::health::outlier_ejection;
@@ -103,13 +103,14 @@
         let may_probe = !request.has_attempts()
             && outlier_ejection::may_probe(request.idempotency, draws.admission);
         let healthy = outlier_ejection::candidates(eligible, may_probe, self.now);
+        let admission_request = AdmissionRequest {
+            priority: request.priority,
+            draw: draws.admission,
+        };
         let admitting: Vec<&Endpoint> = healthy
             .iter()
             .copied()
-            .filter(|endpoint| {
-                self.admission
-                    .admits(endpoint, &loads, request.priority, draws.admission)
-            })
+            .filter(|endpoint| self.admission.admits(endpoint, &loads, &admission_request))
             .collect();
         let preferred = not_above_average_load(admitting, &loads);
         if let Some(endpoint) = self
--- a/crates/balancer/src/requests/stage.rs
+++ b/crates/balancer/src/requests/stage.rs
@@ -58,3 +58,6 @@
         self.0 = self.0.max(stage);
     }
 }
+
+#[cfg(test)]
+mod tests;
