--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -34,13 +34,13 @@
 const MOSTLY_IDLE: f64 = 0.5;
 
 /// Returns the level of an endpoint's load.
-pub fn load_level(load: f64) -> usize {
+pub(crate) fn load_level(load: f64) -> usize {
     (load.round() as usize).min(LOAD_LEVELS - 1)
 }
 
 /// Returns whether a request's declared work takes longer than it has time, even at an idle
 /// endpoint.
-pub fn cannot_finish_in_time(
+pub(crate) fn cannot_finish_in_time(
     declared_work: Option<Duration>,
     time_left: Duration,
     busy_share: f64,
@@ -50,7 +50,7 @@
 }
 
 /// A request as admission control sees it.
-pub struct AdmissionRequest {
+pub(crate) struct AdmissionRequest {
     /// Its priority as a multiple of the mean request's.
     pub priority: f64,
     /// Its random draw, from 0 up to but not including 1.
@@ -58,7 +58,7 @@
 }
 
 /// What a node has learned of the load at which endpoints respond in time.
-pub struct Admission {
+pub(crate) struct Admission {
     node_count: f64,
     /// The share of attempts in time, by the endpoint's load level when they started.
     in_time: [f64; LOAD_LEVELS],
@@ -68,7 +68,7 @@
 
 impl Admission {
     /// Returns a state that admits everything until attempts turn out late.
-    pub fn new(settings: &Settings) -> Self {
+    pub(crate) fn new(settings: &Settings) -> Self {
         let mut in_time = [INITIAL_CLOSED_SHARE; LOAD_LEVELS];
         in_time[..INITIALLY_OPEN].fill(OPEN_ABOVE);
         Admission {
@@ -79,7 +79,7 @@
     }
 
     /// Returns whether an endpoint is likely to respond to a request in time.
-    pub fn admits(
+    pub(crate) fn admits(
         &self,
         endpoint: &Endpoint,
         loads: &LoadSnapshot,
@@ -107,7 +107,7 @@
     }
 
     /// Records the end of an attempt that started at this load level.
-    pub fn record(&mut self, timeliness: Timeliness, level: usize) {
+    pub(crate) fn record(&mut self, timeliness: Timeliness, level: usize) {
         match timeliness {
             Timeliness::InTime => self.record_in_time(level),
             Timeliness::Late => self.record_late(level),
--- a/crates/balancer/src/endpoint_polling.rs
+++ b/crates/balancer/src/endpoint_polling.rs
@@ -23,7 +23,7 @@
 const CHECKS_PER_INTERVAL: u32 = 64;
 
 /// The schedule of calls to discovery.
-pub struct EndpointPolling {
+pub(crate) struct EndpointPolling {
     interval: Duration,
     /// When to call next; `None` while subscribed.
     next_call: Option<Duration>,
@@ -33,7 +33,7 @@
 
 impl EndpointPolling {
     /// Returns the schedule of a node that has not started.
-    pub fn new(settings: &Settings) -> Self {
+    pub(crate) fn new(settings: &Settings) -> Self {
         let interval = settings.rules.poll_interval;
         let shortest = FIRST_BACKOFF.min(interval / 16);
         let longest = MAX_BACKOFF.min(interval / 2);
@@ -46,13 +46,13 @@
     }
 
     /// Schedules the first call of a node that has just started.
-    pub fn start(&mut self, now: Duration, random: &mut Random) {
+    pub(crate) fn start(&mut self, now: Duration, random: &mut Random) {
         let spread = self.interval.mul_f64(random.unit() * FIRST_CALL_SPREAD);
         self.next_call = Some(now + spread);
     }
 
     /// Returns whether to call now. The call counts as unanswered if there is no list in time.
-    pub fn call_is_due(&mut self, now: Duration) -> bool {
+    pub(crate) fn call_is_due(&mut self, now: Duration) -> bool {
         let is_due = self.next_call.is_some_and(|at| now >= at);
         if is_due {
             self.last_call = now;
@@ -62,7 +62,7 @@
     }
 
     /// Returns the time between two looks at the schedule, which is short against every wait in it.
-    pub fn check_interval(&self) -> Duration {
+    pub(crate) fn check_interval(&self) -> Duration {
         (self.interval / CHECKS_PER_INTERVAL).min(FIRST_BACKOFF / 2)
     }
 
@@ -71,14 +71,14 @@
     /// If the subscription ended, the wait counts from the call that opened it: a watch may end in
     /// place of a change, and discovery works through the calls of all nodes one after the other,
     /// so that none of the time until the change counts as known is there to be waited out.
-    pub fn record_failure(&mut self, now: Duration, random: &mut Random) {
+    pub(crate) fn record_failure(&mut self, now: Duration, random: &mut Random) {
         let was_subscribed = self.next_call.is_none();
         let wait_from = if was_subscribed { self.last_call } else { now };
         self.next_call = Some(wait_from + self.backoff.next_wait(random));
     }
 
     /// Records that discovery has sent a list: the node is subscribed.
-    pub fn record_list(&mut self) {
+    pub(crate) fn record_list(&mut self) {
         self.next_call = None;
         self.backoff.reset();
     }
--- a/crates/balancer/src/endpoints/endpoint.rs
+++ b/crates/balancer/src/endpoints/endpoint.rs
@@ -9,7 +9,7 @@
 
 /// A listed endpoint.
 #[derive(Default)]
-pub struct Endpoint {
+pub(crate) struct Endpoint {
     /// The entry in the endpoint list.
     pub entry: EndpointEntry,
     /// When the endpoint started, on this node's own clock; `None` if long ago.
@@ -31,7 +31,7 @@
 impl Endpoint {
     /// Returns an endpoint that has just been listed or has restarted, with the send count that it
     /// starts with.
-    pub fn newly_listed(
+    pub(crate) fn newly_listed(
         entry: EndpointEntry,
         started: Option<Duration>,
         send_count: u32,
--- a/crates/balancer/src/endpoints/endpoint_set.rs
+++ b/crates/balancer/src/endpoints/endpoint_set.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 /// The listed endpoints, and the ring of those that are ready.
-pub struct EndpointSet {
+pub(crate) struct EndpointSet {
     by_id: BTreeMap<EndpointId, Endpoint>,
     ready: Ring,
     /// Whether any list so far has had endpoints.
@@ -15,7 +15,7 @@
 
 impl EndpointSet {
     /// Returns an empty set.
-    pub fn new(settings: &Settings) -> Self {
+    pub(crate) fn new(settings: &Settings) -> Self {
         EndpointSet {
             by_id: BTreeMap::new(),
             ready: Ring::new(settings),
@@ -24,32 +24,32 @@
     }
 
     /// Returns a listed endpoint.
-    pub fn get(&self, id: EndpointId) -> Option<&Endpoint> {
+    pub(crate) fn get(&self, id: EndpointId) -> Option<&Endpoint> {
         self.by_id.get(&id)
     }
 
     /// Returns a listed endpoint, to be changed.
-    pub fn get_mut(&mut self, id: EndpointId) -> Option<&mut Endpoint> {
+    pub(crate) fn get_mut(&mut self, id: EndpointId) -> Option<&mut Endpoint> {
         self.by_id.get_mut(&id)
     }
 
     /// Returns the number of listed endpoints.
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.by_id.len()
     }
 
     /// Returns the number of listed endpoints that are ready.
-    pub fn ready_count(&self) -> usize {
+    pub(crate) fn ready_count(&self) -> usize {
         self.ready.len()
     }
 
     /// Returns the ready endpoints in the order of the ring, from this node's place on.
-    pub fn ring(&self) -> impl Iterator<Item = &Endpoint> {
+    pub(crate) fn ring(&self) -> impl Iterator<Item = &Endpoint> {
         self.ready.iter().filter_map(|id| self.by_id.get(id))
     }
 
     /// Returns the mean send count of the next so many endpoints on the ring.
-    pub fn mean_send_count(&self, endpoints: usize) -> u32 {
+    pub(crate) fn mean_send_count(&self, endpoints: usize) -> u32 {
         let endpoints = endpoints.min(self.ready.len());
         let sends: u32 = self
             .ring()
@@ -61,13 +61,13 @@
 
     /// Returns whether any list so far has had endpoints. What appears after that was not listed
     /// before.
-    pub fn has_listed_endpoints(&self) -> bool {
+    pub(crate) fn has_listed_endpoints(&self) -> bool {
         self.has_listed_endpoints
     }
 
     /// Applies entries of the list. `new_endpoint` returns the state of an endpoint that is new or
     /// has restarted.
-    pub fn apply(
+    pub(crate) fn apply(
         &mut self,
         kind: ListKind,
         entries: Vec<EndpointEntry>,
--- a/crates/balancer/src/endpoints/health.rs
+++ b/crates/balancer/src/endpoints/health.rs
@@ -6,7 +6,7 @@
 
 /// What an attempt or a health check says of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HealthSignal {
+pub(crate) enum HealthSignal {
     /// It responded in good time.
     Responded,
     /// It responded with no time to spare.
@@ -19,7 +19,7 @@
 
 impl HealthSignal {
     /// Returns how much of a failure it is, from 0 to 1.
-    pub fn failure(self) -> f64 {
+    pub(crate) fn failure(self) -> f64 {
         match self {
             HealthSignal::Responded => 0.0,
             HealthSignal::RespondedLate => 0.5,
@@ -38,7 +38,7 @@
 
 /// The health of one endpoint.
 #[derive(Clone, Copy, Default)]
-pub struct Health {
+pub(crate) struct Health {
     failure_rate: f64,
     /// The end of its ejection. After that it is on probation until it responds.
     ejected_until: Option<Duration>,
@@ -48,38 +48,38 @@
 
 impl Health {
     /// Returns the moving average of its failures, from 0 to 1.
-    pub fn failure_rate(&self) -> f64 {
+    pub(crate) fn failure_rate(&self) -> f64 {
         self.failure_rate
     }
 
     /// Returns its ejections in a row, halved by each response.
-    pub fn ejections(&self) -> u32 {
+    pub(crate) fn ejections(&self) -> u32 {
         self.ejections
     }
 
     /// Returns whether it is ejected or on probation.
-    pub fn is_ejected(&self) -> bool {
+    pub(crate) fn is_ejected(&self) -> bool {
         self.ejected_until.is_some()
     }
 
     /// Returns whether its ejection has ended, and it is on probation until it responds.
-    pub fn is_on_probation(&self, now: Duration) -> bool {
+    pub(crate) fn is_on_probation(&self, now: Duration) -> bool {
         self.ejected_until.is_some_and(|until| now >= until)
     }
 
     /// Takes a signal into its failure rate.
-    pub fn record(&mut self, signal: HealthSignal) {
+    pub(crate) fn record(&mut self, signal: HealthSignal) {
         smooth(&mut self.failure_rate, signal.failure(), signal.weight());
     }
 
     /// Ejects it.
-    pub fn eject(&mut self, until: Duration) {
+    pub(crate) fn eject(&mut self, until: Duration) {
         self.ejected_until = Some(until);
         self.ejections += 1;
     }
 
     /// Ends its ejection and its probation.
-    pub fn restore(&mut self) {
+    pub(crate) fn restore(&mut self) {
         self.ejected_until = None;
         self.ejections /= 2;
     }
--- a/crates/balancer/src/endpoints/mod.rs
+++ b/crates/balancer/src/endpoints/mod.rs
@@ -8,8 +8,8 @@
 mod ring;
 mod send_count;
 
-pub use endpoint::Endpoint;
-pub use endpoint_set::EndpointSet;
-pub use health::{Health, HealthSignal};
-pub use permit::Permit;
-pub use reported_load::{ReportedLoad, reported_load};
+pub(crate) use endpoint::Endpoint;
+pub(crate) use endpoint_set::EndpointSet;
+pub(crate) use health::{Health, HealthSignal};
+pub(crate) use permit::Permit;
+pub(crate) use reported_load::{ReportedLoad, reported_load};
--- a/crates/balancer/src/endpoints/permit.rs
+++ b/crates/balancer/src/endpoints/permit.rs
@@ -4,7 +4,7 @@
 
 /// A permit that an endpoint has or lacks, and when it was last drawn for.
 #[derive(Clone, Copy, Default)]
-pub struct Permit {
+pub(crate) struct Permit {
     /// When the permit expires; in the past if there is none.
     expires: Duration,
     drawn_at: Duration,
@@ -12,7 +12,7 @@
 
 impl Permit {
     /// Returns no permit. The first draw counts the time from `now`.
-    pub fn none(now: Duration) -> Self {
+    pub(crate) fn none(now: Duration) -> Self {
         Permit {
             expires: Duration::ZERO,
             drawn_at: now,
@@ -20,18 +20,18 @@
     }
 
     /// Returns whether there is a permit.
-    pub fn is_valid(&self, now: Duration) -> bool {
+    pub(crate) fn is_valid(&self, now: Duration) -> bool {
         self.expires > now
     }
 
     /// Returns the time since the last draw.
-    pub fn since_draw(&self, now: Duration) -> Duration {
+    pub(crate) fn since_draw(&self, now: Duration) -> Duration {
         now.saturating_sub(self.drawn_at)
     }
 
     /// Records a draw. One that is won gives a permit of this lifetime, unless there is one
     /// already.
-    pub fn record_draw(&mut self, won: bool, lifetime: Duration, now: Duration) {
+    pub(crate) fn record_draw(&mut self, won: bool, lifetime: Duration, now: Duration) {
         if won && !self.is_valid(now) {
             self.expires = now + lifetime;
         }
@@ -39,7 +39,7 @@
     }
 
     /// Uses the permit for a request.
-    pub fn consume(&mut self) {
+    pub(crate) fn consume(&mut self) {
         self.expires = Duration::ZERO;
     }
 }
--- a/crates/balancer/src/endpoints/reported_load.rs
+++ b/crates/balancer/src/endpoints/reported_load.rs
@@ -5,13 +5,13 @@
 
 /// Returns the load that a report tells of: the requests in flight, or, where that is missing,
 /// those that wait in the queue.
-pub fn reported_load(report: &LoadReport) -> Option<f64> {
+pub(crate) fn reported_load(report: &LoadReport) -> Option<f64> {
     report.in_flight.or(report.queue).map(f64::from)
 }
 
 /// The last load that an endpoint reported.
 #[derive(Clone, Copy)]
-pub struct ReportedLoad {
+pub(crate) struct ReportedLoad {
     /// The reported requests, with own sends since.
     requests: f64,
     reported_at: Duration,
@@ -19,7 +19,7 @@
 
 impl ReportedLoad {
     /// Returns a load of this many requests.
-    pub fn new(requests: f64, reported_at: Duration) -> Self {
+    pub(crate) fn new(requests: f64, reported_at: Duration) -> Self {
         ReportedLoad {
             requests,
             reported_at,
@@ -27,17 +27,17 @@
     }
 
     /// Returns the reported requests, with own sends since.
-    pub fn requests(&self) -> f64 {
+    pub(crate) fn requests(&self) -> f64 {
         self.requests
     }
 
     /// Returns when the load was reported.
-    pub fn reported_at(&self) -> Duration {
+    pub(crate) fn reported_at(&self) -> Duration {
         self.reported_at
     }
 
     /// Counts an attempt that was sent since the report.
-    pub fn add_send(&mut self) {
+    pub(crate) fn add_send(&mut self) {
         self.requests += 1.0;
     }
 }
--- a/crates/balancer/src/endpoints/ring.rs
+++ b/crates/balancer/src/endpoints/ring.rs
@@ -5,7 +5,7 @@
 use crate::{EndpointId, Settings};
 
 /// The ready endpoints, in an order that is the same at all nodes.
-pub struct Ring {
+pub(super) struct Ring {
     ids: Vec<EndpointId>,
     node_index: usize,
     node_count: usize,
@@ -13,7 +13,7 @@
 
 impl Ring {
     /// Returns an empty ring, with this node's place on it.
-    pub fn new(settings: &Settings) -> Self {
+    pub(super) fn new(settings: &Settings) -> Self {
         Ring {
             ids: Vec::new(),
             node_index: settings.node_index as usize,
@@ -22,31 +22,31 @@
     }
 
     /// Returns the number of endpoints on it.
-    pub fn len(&self) -> usize {
+    pub(super) fn len(&self) -> usize {
         self.ids.len()
     }
 
     /// Removes all endpoints.
-    pub fn clear(&mut self) {
+    pub(super) fn clear(&mut self) {
         self.ids.clear();
     }
 
     /// Inserts an endpoint, unless it is there already.
-    pub fn insert(&mut self, id: EndpointId) {
+    pub(super) fn insert(&mut self, id: EndpointId) {
         if let Err(index) = self.search(id) {
             self.ids.insert(index, id);
         }
     }
 
     /// Removes an endpoint, if it is there.
-    pub fn remove(&mut self, id: EndpointId) {
+    pub(super) fn remove(&mut self, id: EndpointId) {
         if let Ok(index) = self.search(id) {
             self.ids.remove(index);
         }
     }
 
     /// Returns all endpoints, from this node's place on.
-    pub fn iter(&self) -> impl Iterator<Item = &EndpointId> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = &EndpointId> {
         let start = self.node_index % self.node_count * self.ids.len() / self.node_count;
         let (before, after) = self.ids.split_at(start);
         after.iter().chain(before)
--- a/crates/balancer/src/endpoints/send_count.rs
+++ b/crates/balancer/src/endpoints/send_count.rs
@@ -4,7 +4,7 @@
 
 /// The node's own sends to an endpoint since that last showed idle.
 #[derive(Clone, Copy, Default)]
-pub struct SendCount {
+pub(crate) struct SendCount {
     since_idle: u32,
     /// When the endpoint last showed idle.
     idle_at: Option<Duration>,
@@ -12,7 +12,7 @@
 
 impl SendCount {
     /// Returns the count of a newly listed endpoint. At zero, all nodes would join it at once.
-    pub fn starting_at(since_idle: u32) -> Self {
+    pub(crate) fn starting_at(since_idle: u32) -> Self {
         SendCount {
             since_idle,
             idle_at: None,
@@ -20,23 +20,23 @@
     }
 
     /// Returns the own sends since the endpoint last showed idle.
-    pub fn since_idle(&self) -> u32 {
+    pub(crate) fn since_idle(&self) -> u32 {
         self.since_idle
     }
 
     /// Returns when the endpoint last showed idle.
-    pub fn idle_at(&self) -> Option<Duration> {
+    pub(crate) fn idle_at(&self) -> Option<Duration> {
         self.idle_at
     }
 
     /// Counts a send.
-    pub fn increment(&mut self) {
+    pub(crate) fn increment(&mut self) {
         self.since_idle += 1;
     }
 
     /// Resets the count to the `in_flight` own attempts, other than which the endpoint has shown
     /// idle. Returns whether the count fell.
-    pub fn reset(&mut self, in_flight: u32, now: Duration) -> bool {
+    pub(crate) fn reset(&mut self, in_flight: u32, now: Duration) -> bool {
         self.idle_at = Some(now);
         let falls = self.since_idle > in_flight;
         if falls {
--- a/crates/balancer/src/estimates/declared_work.rs
+++ b/crates/balancer/src/estimates/declared_work.rs
@@ -5,19 +5,19 @@
 
 /// The mean of the work that requests declare.
 #[derive(Default)]
-pub struct DeclaredWork {
+pub(crate) struct DeclaredWork {
     mean: Seconds,
 }
 
 impl DeclaredWork {
     /// Returns the mean declared work; `None` before the first request that declares any.
-    pub fn mean(&self) -> Option<Seconds> {
+    pub(crate) fn mean(&self) -> Option<Seconds> {
         (self.mean > Seconds::ZERO).then_some(self.mean)
     }
 
     /// Records a request's declared work and returns it as a multiple of the mean; 1 for a request
     /// that declares none.
-    pub fn record(&mut self, declared: Option<Duration>) -> f64 {
+    pub(crate) fn record(&mut self, declared: Option<Duration>) -> f64 {
         let work = Seconds::from(declared.unwrap_or_default());
         if work <= Seconds::ZERO {
             return 1.0;
--- a/crates/balancer/src/estimates/endpoint_share.rs
+++ b/crates/balancer/src/estimates/endpoint_share.rs
@@ -8,7 +8,7 @@
 const MIN_PEAK_WINDOW: Seconds = Seconds::new(1e-3);
 
 /// The work per second that a warm endpoint serves for this node, in multiples of a mean request's.
-pub struct EndpointShare {
+pub(crate) struct EndpointShare {
     /// When this node started.
     started: Duration,
     /// Work that arrived.
@@ -23,7 +23,7 @@
 
 impl EndpointShare {
     /// Returns a share of zero.
-    pub fn new(settings: &Settings) -> Self {
+    pub(crate) fn new(settings: &Settings) -> Self {
         let rate_window = settings.rate_window();
         EndpointShare {
             started: Duration::ZERO,
@@ -36,30 +36,30 @@
     }
 
     /// Records that this node has started.
-    pub fn start(&mut self, now: Duration) {
+    pub(crate) fn start(&mut self, now: Duration) {
         self.started = now;
         self.peak_updated = now;
     }
 
     /// Records work that has arrived.
-    pub fn record_arrival(&mut self, work: f64, now: Duration) {
+    pub(crate) fn record_arrival(&mut self, work: f64, now: Duration) {
         self.arrived.add(now, work);
     }
 
     /// Records work that a warm endpoint has served.
-    pub fn record_served(&mut self, work: f64, now: Duration) {
+    pub(crate) fn record_served(&mut self, work: f64, now: Duration) {
         self.served.add(now, work);
     }
 
     /// Returns the peak of the share. What a warm endpoint can serve does not fall with what is
     /// served in an overload.
-    pub fn peak(&self) -> f64 {
+    pub(crate) fn peak(&self) -> f64 {
         self.peak
     }
 
     /// Updates the peak, with so many warm endpoints among the `sharing` endpoints that this node
     /// uses.
-    pub fn update(&mut self, warm: usize, sharing: usize, now: Duration) {
+    pub(crate) fn update(&mut self, warm: usize, sharing: usize, now: Duration) {
         let windows = Seconds::from(now - self.peak_updated) / self.peak_window;
         let remaining = self.peak * (-windows).exp();
         self.peak = remaining.max(self.current(warm, sharing, now));
--- a/crates/balancer/src/estimates/load_snapshot.rs
+++ b/crates/balancer/src/estimates/load_snapshot.rs
@@ -12,12 +12,12 @@
 const IDLE_BELOW: f64 = 0.5;
 
 /// Returns whether a reported load is that of an idle endpoint.
-pub fn is_idle(load: f64) -> bool {
+pub(crate) fn is_idle(load: f64) -> bool {
     load < IDLE_BELOW
 }
 
 /// The loads of endpoints at one moment.
-pub struct LoadSnapshot {
+pub(crate) struct LoadSnapshot {
     now: Duration,
     /// The age up to which a report is fresh.
     max_age: Seconds,
@@ -28,7 +28,7 @@
 
 impl LoadSnapshot {
     /// Returns the loads as of `now`.
-    pub fn new(polled: bool, mean_response_time: Seconds, now: Duration) -> Self {
+    pub(crate) fn new(polled: bool, mean_response_time: Seconds, now: Duration) -> Self {
         LoadSnapshot {
             now,
             max_age: mean_response_time * MAX_AGE_IN_RESPONSES,
@@ -37,12 +37,12 @@
     }
 
     /// Returns whether what was reported at `at` is fresh.
-    pub fn is_fresh(&self, at: Duration) -> bool {
+    pub(crate) fn is_fresh(&self, at: Duration) -> bool {
         Seconds::from(self.now - at) <= self.max_age
     }
 
     /// Returns the load that an endpoint reported, with own sends since; `None` unless it is fresh.
-    pub fn reported(&self, endpoint: &Endpoint) -> Option<f64> {
+    pub(crate) fn reported(&self, endpoint: &Endpoint) -> Option<f64> {
         let report = endpoint.reported_load.filter(|_| self.polled)?;
         self.is_fresh(report.reported_at())
             .then(|| report.requests())
@@ -50,7 +50,7 @@
 
     /// Returns the load of an endpoint: the reported one, or one guessed from own attempts and
     /// their failures, but not less than own attempts in flight.
-    pub fn estimate(&self, endpoint: &Endpoint) -> f64 {
+    pub(crate) fn estimate(&self, endpoint: &Endpoint) -> f64 {
         let in_flight = f64::from(endpoint.in_flight);
         match self.reported(endpoint) {
             Some(load) => load.max(in_flight),
--- a/crates/balancer/src/estimates/mod.rs
+++ b/crates/balancer/src/estimates/mod.rs
@@ -3,9 +3,9 @@
 
 mod declared_work;
 mod endpoint_share;
-pub mod load_snapshot;
+pub(crate) mod load_snapshot;
 mod response_times;
 
-pub use declared_work::DeclaredWork;
-pub use endpoint_share::EndpointShare;
-pub use response_times::ResponseTimes;
+pub(crate) use declared_work::DeclaredWork;
+pub(crate) use endpoint_share::EndpointShare;
+pub(crate) use response_times::ResponseTimes;
--- a/crates/balancer/src/estimates/response_times.rs
+++ b/crates/balancer/src/estimates/response_times.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 /// Moving averages of the times in which endpoints serve requests.
-pub struct ResponseTimes {
+pub(crate) struct ResponseTimes {
     mean: Seconds,
     median: Seconds,
     mean_by_class: Vec<Seconds>,
@@ -13,7 +13,7 @@
 
 impl ResponseTimes {
     /// Returns the estimates before any response: about half of the latency objectives.
-    pub fn new(settings: &Settings) -> Self {
+    pub(crate) fn new(settings: &Settings) -> Self {
         let objectives: Vec<Duration> = settings
             .classes
             .iter()
@@ -31,22 +31,22 @@
     }
 
     /// Returns the mean response time over all classes.
-    pub fn mean(&self) -> Seconds {
+    pub(crate) fn mean(&self) -> Seconds {
         self.mean
     }
 
     /// Returns the median response time of requests of mean work.
-    pub fn median(&self) -> Seconds {
+    pub(crate) fn median(&self) -> Seconds {
         self.median
     }
 
     /// Returns the mean response time of a class, by its index in the settings.
-    pub fn class_mean(&self, class: usize) -> Seconds {
+    pub(crate) fn class_mean(&self, class: usize) -> Seconds {
         self.mean_by_class[class]
     }
 
     /// Records that a request of this class and relative work was served in this time.
-    pub fn record(&mut self, class: usize, relative_work: f64, elapsed: Duration) {
+    pub(crate) fn record(&mut self, class: usize, relative_work: f64, elapsed: Duration) {
         let elapsed = Seconds::from(elapsed);
         self.mean_by_class[class].smooth(elapsed, SMOOTHING / 4.0);
         self.mean.smooth(elapsed, SMOOTHING / 4.0);
--- a/crates/balancer/src/health/active_check.rs
+++ b/crates/balancer/src/health/active_check.rs
@@ -19,7 +19,7 @@
 const MIN_TIME_LEFT: Seconds = Seconds::new(1e-6);
 
 /// The health checks in flight, and what decides on further ones.
-pub struct ActiveChecks {
+pub(crate) struct ActiveChecks {
     /// The price of one health check for each request, as a fraction of the service.
     price: f64,
     weight_by_work: bool,
@@ -29,7 +29,7 @@
 
 impl ActiveChecks {
     /// Returns a state with no health check in flight.
-    pub fn new(settings: &Settings) -> Self {
+    pub(crate) fn new(settings: &Settings) -> Self {
         ActiveChecks {
             price: settings.cost_weights.health_check,
             weight_by_work: settings.weight_by_work,
@@ -45,7 +45,7 @@
     /// the likelier for it the more of its time its own work takes. Health checks avoid that, or
     /// half of it where all the endpoints asked are busy. `mean_work` is the mean work of a
     /// request.
-    pub fn are_worth_it(
+    pub(crate) fn are_worth_it(
         &self,
         request: &PendingRequest,
         busy_share: f64,
@@ -72,7 +72,7 @@
 
     /// Sends health checks to some of the targets. Returns whether any health check is in flight
     /// now.
-    pub fn start(
+    pub(crate) fn start(
         &mut self,
         mut targets: Vec<EndpointId>,
         endpoints: &mut EndpointSet,
@@ -95,13 +95,13 @@
     }
 
     /// Returns how long a request is queued for health checks.
-    pub fn max_queue_time(&self, mean_response_time: Seconds) -> Duration {
+    pub(crate) fn max_queue_time(&self, mean_response_time: Seconds) -> Duration {
         let queue_time = mean_response_time * MAX_QUEUE_TIME_IN_RESPONSES;
         queue_time.to_duration().max(MIN_QUEUE_TICKS * self.tick)
     }
 
     /// Records the end of a health check. Returns whether it was the last one in flight.
-    pub fn record_end(&mut self) -> bool {
+    pub(crate) fn record_end(&mut self) -> bool {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.in_flight == 0
     }
--- a/crates/balancer/src/health/mod.rs
+++ b/crates/balancer/src/health/mod.rs
@@ -1,5 +1,5 @@
 //! What a node knows of its endpoints' health and load.
 
-pub mod active_check;
-pub mod observation;
-pub mod outlier_ejection;
+pub(crate) mod active_check;
+pub(crate) mod observation;
+pub(crate) mod outlier_ejection;
--- a/crates/balancer/src/health/observation.rs
+++ b/crates/balancer/src/health/observation.rs
@@ -9,7 +9,7 @@
 
 /// Whether an endpoint responds in time at a load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Timeliness {
+pub(crate) enum Timeliness {
     /// It does.
     InTime,
     /// It does not.
@@ -17,7 +17,7 @@
 }
 
 /// The class of a request and the response times seen in it.
-pub struct ClassContext<'a> {
+pub(crate) struct ClassContext<'a> {
     /// The class, as the settings have it.
     pub class: &'a RequestClass,
     /// The mean response time of the class.
@@ -25,7 +25,7 @@
 }
 
 /// What the end of an attempt says of its endpoint.
-pub struct Observation {
+pub(crate) struct Observation {
     outcome: Outcome,
     /// Whether the attempt was abandoned after the time of a usual response.
     abandoned_overdue: bool,
@@ -35,7 +35,7 @@
 
 impl Observation {
     /// Returns what the end of an attempt, seen at `now`, says of its endpoint.
-    pub fn new(
+    pub(crate) fn new(
         request: &PendingRequest,
         attempt: &Attempt,
         end: &AttemptEnd,
@@ -52,7 +52,7 @@
     }
 
     /// Returns what it says of the endpoint's health, if anything.
-    pub fn health(&self) -> Option<HealthSignal> {
+    pub(crate) fn health(&self) -> Option<HealthSignal> {
         match self.outcome {
             Outcome::Served if self.near_deadline => Some(HealthSignal::RespondedLate),
             Outcome::Served => Some(HealthSignal::Responded),
@@ -64,7 +64,7 @@
     }
 
     /// Returns whether the endpoint responds in time at the load that it had, if this says so.
-    pub fn timeliness(&self) -> Option<Timeliness> {
+    pub(crate) fn timeliness(&self) -> Option<Timeliness> {
         match self.outcome {
             Outcome::Served if !self.near_deadline => Some(Timeliness::InTime),
             Outcome::Served | Outcome::Rejected => Some(Timeliness::Late),
--- a/crates/balancer/src/health/outlier_ejection.rs
+++ b/crates/balancer/src/health/outlier_ejection.rs
@@ -21,7 +21,7 @@
 
 /// What a signal means for the endpoint that gave it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub(crate) enum Verdict {
     /// It stays in use.
     Keep,
     /// It is an outlier, and is ejected unless too many others are.
@@ -31,7 +31,7 @@
 }
 
 /// Detects and ejects outliers.
-pub struct OutlierDetector {
+pub(crate) struct OutlierDetector {
     base_ejection_time: Duration,
     /// The failure rate of all endpoints.
     failure_rate: f64,
@@ -39,7 +39,7 @@
 
 impl OutlierDetector {
     /// Returns a detector that has seen no failures.
-    pub fn new(settings: &Settings) -> Self {
+    pub(crate) fn new(settings: &Settings) -> Self {
         OutlierDetector {
             base_ejection_time: settings.rules.overload_window,
             failure_rate: 0.0,
@@ -48,7 +48,7 @@
 
     /// Records a signal of an endpoint, and returns what it means. A response restores an endpoint
     /// that was ejected.
-    pub fn record(&mut self, endpoint: &mut Endpoint, signal: HealthSignal) -> Verdict {
+    pub(crate) fn record(&mut self, endpoint: &mut Endpoint, signal: HealthSignal) -> Verdict {
         endpoint.health.record(signal);
         smooth(&mut self.failure_rate, signal.failure(), SMOOTHING / 2.0);
         if signal.failure() < 1.0 {
@@ -65,7 +65,7 @@
     }
 
     /// Ejects an endpoint, each time in a row for twice as long.
-    pub fn eject(&self, endpoint: &mut Endpoint, now: Duration) {
+    pub(crate) fn eject(&self, endpoint: &mut Endpoint, now: Duration) {
         let doublings = endpoint.health.ejections().min(MAX_DOUBLINGS);
         let ejection_time = self.base_ejection_time * (1 << doublings);
         endpoint.health.eject(now + ejection_time);
@@ -79,7 +79,7 @@
 
 /// Returns whether an endpoint with this verdict is ejected. Half of the `nearby` next endpoints on
 /// the ring are never ejected as outliers.
-pub fn allows_ejection(verdict: Verdict, endpoints: &EndpointSet, nearby: usize) -> bool {
+pub(crate) fn allows_ejection(verdict: Verdict, endpoints: &EndpointSet, nearby: usize) -> bool {
     match verdict {
         Verdict::Keep => false,
         Verdict::Outlier => may_eject_more(endpoints, nearby),
@@ -99,7 +99,7 @@
 
 /// Returns whether the first attempt at a request may probe an endpoint on probation; `draw` is the
 /// request's random draw.
-pub fn may_probe(idempotency: Idempotency, draw: f64) -> bool {
+pub(crate) fn may_probe(idempotency: Idempotency, draw: f64) -> bool {
     match idempotency {
         Idempotency::NotIdempotent => draw * UNRETRYABLE_PROBE_DIVISOR < PROBE_SHARE,
         Idempotency::Idempotent | Idempotency::Keyed { .. } => draw < PROBE_SHARE,
@@ -108,7 +108,11 @@
 
 /// Returns the endpoints to choose from: those due for a probe if the request may be one, else
 /// those that are not ejected, else all.
-pub fn candidates(eligible: Vec<&Endpoint>, may_probe: bool, now: Duration) -> Vec<&Endpoint> {
+pub(crate) fn candidates(
+    eligible: Vec<&Endpoint>,
+    may_probe: bool,
+    now: Duration,
+) -> Vec<&Endpoint> {
     let is_due = |e: &&Endpoint| e.in_flight == 0 && e.health.is_on_probation(now);
     if may_probe && eligible.iter().any(is_due) {
         return eligible.into_iter().filter(is_due).collect();
--- a/crates/balancer/src/numeric/mod.rs
+++ b/crates/balancer/src/numeric/mod.rs
@@ -7,8 +7,8 @@
 mod seconds;
 mod token_bucket;
 
-pub use decaying_rate::DecayingRate;
-pub use moving_average::{SMOOTHING, smooth};
+pub(crate) use decaying_rate::DecayingRate;
+pub(crate) use moving_average::{SMOOTHING, smooth};
 pub use random::Random;
-pub use seconds::Seconds;
-pub use token_bucket::TokenBucket;
+pub(crate) use seconds::Seconds;
+pub(crate) use token_bucket::TokenBucket;
--- a/crates/balancer/src/numeric/moving_average.rs
+++ b/crates/balancer/src/numeric/moving_average.rs
@@ -1,9 +1,9 @@
 //! Exponentially weighted moving averages.
 
 /// The weight of one observation in a moving average: the last handful of observations decide.
-pub const SMOOTHING: f64 = 1.0 / 8.0;
+pub(crate) const SMOOTHING: f64 = 1.0 / 8.0;
 
 /// Moves an exponentially weighted average towards an observation of this weight.
-pub fn smooth(average: &mut f64, observed: f64, weight: f64) {
+pub(crate) fn smooth(average: &mut f64, observed: f64, weight: f64) {
     *average += (observed - *average) * weight;
 }
--- a/crates/balancer/src/numeric/seconds.rs
+++ b/crates/balancer/src/numeric/seconds.rs
@@ -8,19 +8,19 @@
 ///
 /// A moving average of [`Duration`]s would be rounded to nanoseconds at each step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
-pub struct Seconds(f64);
+pub(crate) struct Seconds(f64);
 
 impl Seconds {
     /// No time.
-    pub const ZERO: Seconds = Seconds(0.0);
+    pub(crate) const ZERO: Seconds = Seconds(0.0);
 
     /// Returns a time of this many seconds.
-    pub const fn new(seconds: f64) -> Self {
+    pub(crate) const fn new(seconds: f64) -> Self {
         Seconds(seconds)
     }
 
     /// Returns the number of seconds.
-    pub fn as_f64(self) -> f64 {
+    pub(crate) fn as_f64(self) -> f64 {
         self.0
     }
 
@@ -29,17 +29,17 @@
     /// # Panics
     ///
     /// Panics if the time is negative, not finite, or too long for a [`Duration`].
-    pub fn to_duration(self) -> Duration {
+    pub(crate) fn to_duration(self) -> Duration {
         Duration::from_secs_f64(self.0)
     }
 
     /// Returns the longer of two times.
-    pub fn max(self, other: Seconds) -> Self {
+    pub(crate) fn max(self, other: Seconds) -> Self {
         Seconds(self.0.max(other.0))
     }
 
     /// Moves this exponentially weighted average towards an observation of this weight.
-    pub fn smooth(&mut self, observed: Seconds, weight: f64) {
+    pub(crate) fn smooth(&mut self, observed: Seconds, weight: f64) {
         smooth(&mut self.0, observed.0, weight);
     }
 }
--- a/crates/balancer/src/priority.rs
+++ b/crates/balancer/src/priority.rs
@@ -11,7 +11,7 @@
 const MIN_MEAN_WEIGHT: f64 = 1e-9;
 
 /// The priorities of requests, relative to the mean request.
-pub struct Priorities {
+pub(crate) struct Priorities {
     class_weights: Vec<f64>,
     /// This node's part of each tenant's quota.
     quotas: Vec<Quota>,
@@ -25,7 +25,7 @@
 
 impl Priorities {
     /// Returns the priorities before the first request.
-    pub fn new(settings: &Settings) -> Self {
+    pub(crate) fn new(settings: &Settings) -> Self {
         let class_weights: Vec<f64> = settings
             .classes
             .iter()
@@ -49,7 +49,7 @@
     ///
     /// The objective's weight of the worst-served class is spread evenly over all classes, since
     /// any may become the worst.
-    pub fn record_request(&mut self, class: usize, tenant: usize, now: Duration) -> f64 {
+    pub(crate) fn record_request(&mut self, class: usize, tenant: usize, now: Duration) -> f64 {
         let factor = if self.is_over_quota(tenant, now) {
             self.over_quota_weight
         } else {
--- a/crates/balancer/src/requests/attempt.rs
+++ b/crates/balancer/src/requests/attempt.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 /// An attempt at a request, and how it ended.
-pub struct Attempt {
+pub(crate) struct Attempt {
     /// The endpoint, as it was listed when the attempt started.
     pub endpoint: EndpointEntry,
     /// When the attempt started.
@@ -19,12 +19,12 @@
 
 impl Attempt {
     /// Returns whether the endpoint may have run the request.
-    pub fn may_have_run(&self) -> bool {
+    pub(crate) fn may_have_run(&self) -> bool {
         !self.outcome.is_some_and(Outcome::never_ran)
     }
 
     /// Returns whether the attempt has not ended yet.
-    pub fn is_in_flight(&self) -> bool {
+    pub(crate) fn is_in_flight(&self) -> bool {
         self.outcome.is_none()
     }
 }
--- a/crates/balancer/src/requests/mod.rs
+++ b/crates/balancer/src/requests/mod.rs
@@ -5,7 +5,7 @@
 mod queued_requests;
 mod stage;
 
-pub use attempt::Attempt;
-pub use pending_request::PendingRequest;
-pub use queued_requests::QueuedRequests;
-pub use stage::RequestStage;
+pub(crate) use attempt::Attempt;
+pub(crate) use pending_request::PendingRequest;
+pub(crate) use queued_requests::QueuedRequests;
+pub(crate) use stage::RequestStage;
--- a/crates/balancer/src/requests/pending_request.rs
+++ b/crates/balancer/src/requests/pending_request.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// A request that awaits its final response, or the end of some attempts.
-pub struct PendingRequest {
+pub(crate) struct PendingRequest {
     /// The index of its class in the settings.
     pub class: usize,
     /// How far it may be retried.
@@ -25,13 +25,13 @@
 
 impl PendingRequest {
     /// Records an attempt that has just started.
-    pub fn add_attempt(&mut self, attempt: Attempt) {
+    pub(crate) fn add_attempt(&mut self, attempt: Attempt) {
         self.stage.finish_health_checks();
         self.attempts.push(attempt);
     }
 
     /// Returns the number of attempts in flight.
-    pub fn in_flight(&self) -> usize {
+    pub(crate) fn in_flight(&self) -> usize {
         self.attempts
             .iter()
             .filter(|attempt| attempt.is_in_flight())
@@ -39,22 +39,22 @@
     }
 
     /// Returns the latest attempt in flight.
-    pub fn last_in_flight(&self) -> Option<&Attempt> {
+    pub(crate) fn last_in_flight(&self) -> Option<&Attempt> {
         self.attempts.iter().rfind(|attempt| attempt.is_in_flight())
     }
 
     /// Returns the first attempt that may have run the request.
-    pub fn first_that_may_have_run(&self) -> Option<&Attempt> {
+    pub(crate) fn first_that_may_have_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_run())
     }
 
     /// Returns whether a next attempt would be a retry or a hedged request.
-    pub fn has_attempts(&self) -> bool {
+    pub(crate) fn has_attempts(&self) -> bool {
         !self.attempts.is_empty()
     }
 
     /// Returns whether an attempt was sent to this endpoint.
-    pub fn was_sent_to(&self, endpoint: &EndpointEntry) -> bool {
+    pub(crate) fn was_sent_to(&self, endpoint: &EndpointEntry) -> bool {
         self.attempts
             .iter()
             .any(|attempt| attempt.endpoint.id == endpoint.id)
--- a/crates/balancer/src/requests/queued_requests.rs
+++ b/crates/balancer/src/requests/queued_requests.rs
@@ -5,28 +5,28 @@
 
 /// Queued requests, in the order of arrival.
 #[derive(Default)]
-pub struct QueuedRequests {
+pub(crate) struct QueuedRequests {
     ids: Vec<RequestId>,
 }
 
 impl QueuedRequests {
     /// Adds a request.
-    pub fn enqueue(&mut self, id: RequestId) {
+    pub(crate) fn enqueue(&mut self, id: RequestId) {
         self.ids.push(id);
     }
 
     /// Returns whether a request is queued.
-    pub fn contains(&self, id: RequestId) -> bool {
+    pub(crate) fn contains(&self, id: RequestId) -> bool {
         self.ids.contains(&id)
     }
 
     /// Removes a request, if it is queued.
-    pub fn remove(&mut self, id: RequestId) {
+    pub(crate) fn remove(&mut self, id: RequestId) {
         self.ids.retain(|queued| *queued != id);
     }
 
     /// Returns the ids of all queued requests.
-    pub fn ids(&self) -> &[RequestId] {
+    pub(crate) fn ids(&self) -> &[RequestId] {
         &self.ids
     }
 }
--- a/crates/balancer/src/requests/stage.rs
+++ b/crates/balancer/src/requests/stage.rs
@@ -11,46 +11,46 @@
 
 /// The stage of a request. It never goes back to an earlier one.
 #[derive(Clone, Copy, Debug)]
-pub struct RequestStage(Stage);
+pub(crate) struct RequestStage(Stage);
 
 impl RequestStage {
     /// Returns the stage of a new request, for which health checks may be made.
-    pub fn before_health_checks() -> Self {
+    pub(crate) fn before_health_checks() -> Self {
         RequestStage(Stage::BeforeHealthChecks)
     }
 
     /// Returns the stage of a new request that is sent by what is known already.
-    pub fn routable() -> Self {
+    pub(crate) fn routable() -> Self {
         RequestStage(Stage::Routable)
     }
 
     /// Returns whether health checks may still be made for the request.
-    pub fn may_check_health(self) -> bool {
+    pub(crate) fn may_check_health(self) -> bool {
         self.0 == Stage::BeforeHealthChecks
     }
 
     /// Returns whether the response is being streamed and the client still awaits the rest.
-    pub fn is_streaming(self) -> bool {
+    pub(crate) fn is_streaming(self) -> bool {
         self.0 == Stage::Streaming
     }
 
     /// Returns whether the request needs no response any more.
-    pub fn is_closed(self) -> bool {
+    pub(crate) fn is_closed(self) -> bool {
         self.0 == Stage::Closed
     }
 
     /// Ends the time for health checks: the request has waited for them, or has been sent.
-    pub fn finish_health_checks(&mut self) {
+    pub(crate) fn finish_health_checks(&mut self) {
         self.advance_to(Stage::Routable);
     }
 
     /// The response is being streamed, and can no longer be replaced by another.
-    pub fn start_streaming(&mut self) {
+    pub(crate) fn start_streaming(&mut self) {
         self.advance_to(Stage::Streaming);
     }
 
     /// The request needs no response any more.
-    pub fn close(&mut self) {
+    pub(crate) fn close(&mut self) {
         self.advance_to(Stage::Closed);
     }
 
--- a/crates/balancer/src/retry/budget.rs
+++ b/crates/balancer/src/retry/budget.rs
@@ -11,35 +11,35 @@
 const MAX_TOKENS: f64 = 2.0 / TOKENS_PER_REQUEST;
 
 /// The budget of a node for retries and hedged requests.
-pub struct RetryBudget {
+pub(crate) struct RetryBudget {
     tokens: TokenBucket,
 }
 
 impl RetryBudget {
     /// Returns the budget of a node that has just started.
-    pub fn new() -> Self {
+    pub(crate) fn new() -> Self {
         RetryBudget {
             tokens: TokenBucket::new(INITIAL_TOKENS, MAX_TOKENS),
         }
     }
 
     /// Adds what a request that has arrived may spend.
-    pub fn deposit(&mut self) {
+    pub(crate) fn deposit(&mut self) {
         self.tokens.refill(TOKENS_PER_REQUEST);
     }
 
     /// Returns whether a further attempt may start.
-    pub fn allows_retry(&self) -> bool {
+    pub(crate) fn allows_retry(&self) -> bool {
         self.tokens.has(1.0)
     }
 
     /// Returns whether one more attempt could follow the one that is about to start.
-    pub fn allows_retry_after(&self, attempt_is_retry: bool) -> bool {
+    pub(crate) fn allows_retry_after(&self, attempt_is_retry: bool) -> bool {
         self.tokens.has(if attempt_is_retry { 2.0 } else { 1.0 })
     }
 
     /// Spends what a further attempt costs.
-    pub fn withdraw(&mut self) {
+    pub(crate) fn withdraw(&mut self) {
         self.tokens.take();
     }
 }
--- a/crates/balancer/src/retry/client_retry.rs
+++ b/crates/balancer/src/retry/client_retry.rs
@@ -13,7 +13,7 @@
 const TOLERANCE: u32 = 64;
 
 /// What the requests of clients have shown about their retries.
-pub struct ClientRetries {
+pub(crate) struct ClientRetries {
     deadlines: Vec<Duration>,
     /// How long clients wait for their first try, by class.
     first_try: Vec<Duration>,
@@ -23,7 +23,7 @@
 
 impl ClientRetries {
     /// Returns a state that has seen no request.
-    pub fn new(settings: &Settings) -> Self {
+    pub(crate) fn new(settings: &Settings) -> Self {
         ClientRetries {
             deadlines: settings
                 .classes
@@ -36,7 +36,7 @@
     }
 
     /// Records a new request and returns how long its client is likely to have waited already.
-    pub fn time_spent(&mut self, request: &NewRequest, class: usize) -> Duration {
+    pub(crate) fn time_spent(&mut self, request: &NewRequest, class: usize) -> Duration {
         let deadline = self.deadlines[class];
         if !request.client_retry {
             self.first_try[class] = request.remaining;
--- a/crates/balancer/src/retry/hedging.rs
+++ b/crates/balancer/src/retry/hedging.rs
@@ -18,7 +18,7 @@
 const MAX_RELATIVE_WORK: f64 = 1e3;
 
 /// How long to wait for an attempt, and when to start another one beside it.
-pub struct AttemptPlan {
+pub(crate) struct AttemptPlan {
     /// When to give the attempt up.
     pub timeout: Duration,
     /// When to start a hedged request beside it, if at all.
@@ -26,7 +26,7 @@
 }
 
 /// What allows an attempt to be followed by another one.
-pub struct RetryAllowance {
+pub(crate) struct RetryAllowance {
     /// How long the request may be sent again once this attempt may have run.
     pub retryable_for: Duration,
     /// Whether the retry budget has room for one more attempt.
@@ -34,14 +34,14 @@
 }
 
 /// When attempts of a request may follow each other.
-pub struct Hedging {
+pub(crate) struct Hedging {
     parallel_attempts: bool,
     tick: Duration,
 }
 
 impl Hedging {
     /// Returns what the settings permit.
-    pub fn new(settings: &Settings) -> Self {
+    pub(crate) fn new(settings: &Settings) -> Self {
         Hedging {
             parallel_attempts: settings.limits.parallel_attempts,
             tick: settings.tick,
@@ -57,7 +57,12 @@
     }
 
     /// Returns whether an attempt may start now, beside those in flight.
-    pub fn allows_attempt(&self, request: &PendingRequest, median: Seconds, now: Duration) -> bool {
+    pub(crate) fn allows_attempt(
+        &self,
+        request: &PendingRequest,
+        median: Seconds,
+        now: Duration,
+    ) -> bool {
         let Some(last) = request.last_in_flight() else {
             return true;
         };
@@ -70,7 +75,7 @@
     ///
     /// Where only one attempt may be in flight, the endpoint mostly goes on working on one that was
     /// given up, so that is put off until the next has just its time.
-    pub fn plan(
+    pub(crate) fn plan(
         &self,
         request: &PendingRequest,
         median: Seconds,
--- a/crates/balancer/src/retry/idempotency.rs
+++ b/crates/balancer/src/retry/idempotency.rs
@@ -7,7 +7,11 @@
 use std::time::Duration;
 
 /// Returns whether the request may be sent to this endpoint, given the attempts that may have run.
-pub fn allows_attempt(request: &PendingRequest, endpoint: &EndpointEntry, now: Duration) -> bool {
+pub(crate) fn allows_attempt(
+    request: &PendingRequest,
+    endpoint: &EndpointEntry,
+    now: Duration,
+) -> bool {
     let Some(first) = request.first_that_may_have_run() else {
         return true;
     };
@@ -30,7 +34,7 @@
 
 /// Returns how long the request may still be sent again once the next attempt may have run, with
 /// `margin` to spare.
-pub fn retryable_for(request: &PendingRequest, now: Duration, margin: Duration) -> Duration {
+pub(crate) fn retryable_for(request: &PendingRequest, now: Duration, margin: Duration) -> Duration {
     match request.idempotency {
         Idempotency::Idempotent => Duration::MAX,
         Idempotency::NotIdempotent => Duration::ZERO,
@@ -45,7 +49,7 @@
 
 /// Returns whether the client may safely retry the request, so that it may be shed rather than
 /// failed. A client's retry may reach endpoints outside a narrower scope than all.
-pub fn client_may_retry(request: &PendingRequest) -> bool {
+pub(crate) fn client_may_retry(request: &PendingRequest) -> bool {
     match request.idempotency {
         Idempotency::Idempotent
         | Idempotency::Keyed {
--- a/crates/balancer/src/routing/join_up_to.rs
+++ b/crates/balancer/src/routing/join_up_to.rs
@@ -15,7 +15,7 @@
 const MEMORY: f64 = 0.998;
 
 /// The algorithm's state beside the counts.
-pub struct JoinUpTo {
+pub(crate) struct JoinUpTo {
     /// Own sends, forgotten slowly.
     sends: f64,
     /// Idle signals, forgotten slowly.
@@ -28,7 +28,7 @@
 
 impl JoinUpTo {
     /// Returns the state before the first send.
-    pub fn new(settings: &Settings) -> Self {
+    pub(crate) fn new(settings: &Settings) -> Self {
         JoinUpTo {
             sends: 1.0,
             idle_signals: 1.0,
@@ -38,13 +38,13 @@
     }
 
     /// Returns the share of load reports that were not idle.
-    pub fn busy_share(&self) -> f64 {
+    pub(crate) fn busy_share(&self) -> f64 {
         self.busy_share
     }
 
     /// Returns the endpoint with the lowest count strictly below m, if there is one. `draw`, from 0
     /// to 1, breaks ties.
-    pub fn lowest_below_cap(
+    pub(crate) fn lowest_below_cap(
         &self,
         candidates: &[&Endpoint],
         loads: &LoadSnapshot,
@@ -86,7 +86,7 @@
     }
 
     /// Records an attempt that was sent to this endpoint.
-    pub fn record_send(&mut self, endpoint: &mut Endpoint) {
+    pub(crate) fn record_send(&mut self, endpoint: &mut Endpoint) {
         endpoint.sends.increment();
         self.sends = self.sends * MEMORY + 1.0;
         self.idle_signals *= MEMORY;
@@ -94,7 +94,7 @@
 
     /// Records a load report. An idle one that came with a served response or health check resets
     /// the count; own attempts that are still in flight there stay in it.
-    pub fn record_report(
+    pub(crate) fn record_report(
         &mut self,
         endpoint: &mut Endpoint,
         load: f64,
@@ -113,7 +113,7 @@
 }
 
 /// Returns one of the endpoints; `draw`, from 0 up to but not including 1, says which.
-pub fn pick_at_random(candidates: &[&Endpoint], draw: f64) -> Option<EndpointId> {
+pub(crate) fn pick_at_random(candidates: &[&Endpoint], draw: f64) -> Option<EndpointId> {
     let index = (draw * candidates.len() as f64) as usize;
     candidates.get(index).map(|endpoint| endpoint.entry.id)
 }
--- a/crates/balancer/src/routing/mod.rs
+++ b/crates/balancer/src/routing/mod.rs
@@ -1,8 +1,8 @@
 //! Which endpoint a request goes to: Join-Up-To(m) over a subset of the endpoints, sparing those
 //! that start.
 
-pub mod join_up_to;
-pub mod slow_start;
-pub mod start_time;
-pub mod starting_capacity;
-pub mod subset;
+pub(crate) mod join_up_to;
+pub(crate) mod slow_start;
+pub(crate) mod start_time;
+pub(crate) mod starting_capacity;
+pub(crate) mod subset;
--- a/crates/balancer/src/routing/slow_start.rs
+++ b/crates/balancer/src/routing/slow_start.rs
@@ -24,12 +24,12 @@
 const MAX_RELATIVE_WORK: f64 = 2.0;
 
 /// Returns the load on a starting endpoint, as a multiple of the capacity that it has for certain.
-pub fn load_factor(rules: &Rules) -> f64 {
+pub(crate) fn load_factor(rules: &Rules) -> f64 {
     (rules.overload_factor * USED_OVERLOAD).min(MAX_OVERLOAD)
 }
 
 /// Issues the permits of starting endpoints.
-pub struct SlowStart {
+pub(crate) struct SlowStart {
     capacity: StartingCapacity,
     /// The load on a starting endpoint, as a multiple of its present capacity.
     load_factor: f64,
@@ -40,7 +40,7 @@
 
 impl SlowStart {
     /// Returns a slow start that has issued no permits.
-    pub fn new(settings: &Settings) -> Self {
+    pub(crate) fn new(settings: &Settings) -> Self {
         let rules = &settings.rules;
         SlowStart {
             capacity: StartingCapacity::new(rules),
@@ -51,30 +51,30 @@
     }
 
     /// Records that this node has started.
-    pub fn start(&mut self, now: Duration) {
+    pub(crate) fn start(&mut self, now: Duration) {
         self.share.start(now);
     }
 
     /// Records work that has arrived.
-    pub fn record_arrival(&mut self, work: f64, now: Duration) {
+    pub(crate) fn record_arrival(&mut self, work: f64, now: Duration) {
         self.share.record_arrival(work, now);
     }
 
     /// Records work that an endpoint has served.
-    pub fn record_served(&mut self, endpoint: &Endpoint, work: f64, now: Duration) {
+    pub(crate) fn record_served(&mut self, endpoint: &Endpoint, work: f64, now: Duration) {
         if self.capacity.is_full(endpoint, now) {
             self.share.record_served(work, now);
         }
     }
 
     /// Returns whether the endpoint may be sent a request of this relative work.
-    pub fn allows(&self, endpoint: &Endpoint, relative_work: f64, now: Duration) -> bool {
+    pub(crate) fn allows(&self, endpoint: &Endpoint, relative_work: f64, now: Duration) -> bool {
         let has_permit = endpoint.permit.is_valid(now) && relative_work <= MAX_RELATIVE_WORK;
         self.capacity.is_full(endpoint, now) || has_permit
     }
 
     /// Draws permits for the starting endpoints in and next to the subset.
-    pub fn draw_permits(
+    pub(crate) fn draw_permits(
         &mut self,
         endpoints: &mut EndpointSet,
         subset_size: usize,
--- a/crates/balancer/src/routing/start_time.rs
+++ b/crates/balancer/src/routing/start_time.rs
@@ -19,7 +19,7 @@
 const MIN_GROWTH: f64 = 1e-6;
 
 /// Resolves listed starts against the node's own clock.
-pub struct StartTimes {
+pub(crate) struct StartTimes {
     /// How long before the node hears of it an endpoint may have started.
     max_delay: Duration,
 }
@@ -28,7 +28,7 @@
     /// Returns bounds that allow as long a delay as rule 4 forgives if there was none, but a clock
     /// that was stepped: the endpoint then has the capacity of its start, and is sent what it could
     /// do that much later.
-    pub fn new(rules: &Rules) -> Self {
+    pub(crate) fn new(rules: &Rules) -> Self {
         let forgiven = USABLE_OVERLOAD * rules.overload_factor / load_factor(rules) - 1.0;
         let growth_per_window = (1.0 - rules.initial_capacity).max(MIN_GROWTH);
         let windows = (rules.initial_capacity * forgiven / growth_per_window).clamp(0.0, 1.0);
@@ -43,7 +43,7 @@
     /// `is_new_to_list` says that an earlier list did not have it with this start: then a start
     /// long before `now` is implausible. Where there was no such list, the wall clock is all there
     /// is.
-    pub fn resolve(
+    pub(crate) fn resolve(
         &self,
         entry: &EndpointEntry,
         is_new_to_list: bool,
--- a/crates/balancer/src/routing/starting_capacity.rs
+++ b/crates/balancer/src/routing/starting_capacity.rs
@@ -10,7 +10,7 @@
 const MIN_WINDOW: Seconds = Seconds::new(1e-6);
 
 /// The growth of a starting endpoint's capacity.
-pub struct StartingCapacity {
+pub(crate) struct StartingCapacity {
     /// The fraction of the capacity at the start.
     initial: f64,
     /// The time to full capacity.
@@ -19,7 +19,7 @@
 
 impl StartingCapacity {
     /// Returns the growth that the rules promise.
-    pub fn new(rules: &Rules) -> Self {
+    pub(crate) fn new(rules: &Rules) -> Self {
         StartingCapacity {
             initial: rules.initial_capacity,
             window: Seconds::from(rules.slow_start_window).max(MIN_WINDOW),
@@ -27,7 +27,7 @@
     }
 
     /// Returns the fraction of its capacity that the endpoint has for certain.
-    pub fn at(&self, endpoint: &Endpoint, now: Duration) -> f64 {
+    pub(crate) fn at(&self, endpoint: &Endpoint, now: Duration) -> f64 {
         let Some(started) = endpoint.started else {
             return 1.0;
         };
@@ -36,7 +36,7 @@
     }
 
     /// Returns whether the endpoint is warm: it has all of its capacity.
-    pub fn is_full(&self, endpoint: &Endpoint, now: Duration) -> bool {
+    pub(crate) fn is_full(&self, endpoint: &Endpoint, now: Duration) -> bool {
         self.at(endpoint, now) >= 1.0
     }
 }
--- a/crates/balancer/src/routing/subset.rs
+++ b/crates/balancer/src/routing/subset.rs
@@ -22,7 +22,7 @@
 const MAX_SUBSET: usize = 64;
 
 /// The size of a node's subset, and what bounds it.
-pub struct Subset {
+pub(crate) struct Subset {
     /// Connections that this node and all others may keep to each endpoint, for the price of
     /// connections.
     affordable_connections: f64,
@@ -36,7 +36,7 @@
 
 impl Subset {
     /// Returns the subset before the first send.
-    pub fn new(settings: &Settings) -> Self {
+    pub(crate) fn new(settings: &Settings) -> Self {
         let sightings_per_send = if settings.loads_are_polled() {
             SIGHTINGS_PER_SEND_WITH_CHECKS
         } else {
@@ -54,13 +54,13 @@
     }
 
     /// Records an attempt that was sent.
-    pub fn record_send(&mut self, now: Duration) {
+    pub(crate) fn record_send(&mut self, now: Duration) {
         self.sent.add(now, 1.0);
     }
 
     /// Returns how many of the ready endpoints to use: as many as are affordable and as own traffic
     /// keeps in view, but one for every request at once (Little's law) and some to spare.
-    pub fn size(&self, ready: usize, mean_response_time: Seconds, now: Duration) -> usize {
+    pub(crate) fn size(&self, ready: usize, mean_response_time: Seconds, now: Duration) -> usize {
         let rate = self.sent.per_second(now);
         let affordable = self.affordable_connections * ready as f64 / self.node_count;
         let sends = (rate * self.window.as_f64()).max(MIN_IN_VIEW * SIGHTINGS);
