--- a/crates/node/src/downstream/handler.rs
+++ b/crates/node/src/downstream/handler.rs
@@ -11,7 +11,7 @@
 use crate::limits::MAX_BODY_BYTES;
 use crate::logging::log_peer;
 use crate::memory_budget::Budget;
-use crate::message::{FinalResponse, ForwardedRequest, IncomingRequest, Message};
+use crate::message::{FinalResponse, IncomingRequest, Message, UpstreamRequest};
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::http::request::Parts;
@@ -181,7 +181,7 @@
     received: Duration,
     reply: oneshot::Sender<FinalResponse>,
 ) -> IncomingRequest {
-    let forward = ForwardedRequest {
+    let upstream_request = UpstreamRequest {
         method: parsed.method,
         path: parsed.path,
         call_id: parsed.call_id,
@@ -189,7 +189,7 @@
         body: RefCell::new(Some(body)),
         deadline: received + parsed.budget,
         idempotency_window: parsed.idempotency_window,
-        first_byte: Cell::new(None),
+        first_sent_at: Cell::new(None),
     };
     let request = NewRequest {
         id,
@@ -202,9 +202,9 @@
     };
     IncomingRequest {
         request,
-        received,
-        forward,
-        reply,
+        received_at: received,
+        upstream_request,
+        response_sender: reply,
     }
 }
 
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -5,8 +5,8 @@
 use crate::clock::Clock;
 use crate::logging::{log, log_peer};
 use crate::message::{
-    AttemptResult, DiscoveryCommand, EndpointListUpdate, FinalResponse, HealthCheckResult,
-    IncomingRequest, Message, StopReason,
+    AttemptId, CompletedAttempt, CompletedHealthCheck, DiscoveryCommand, EndpointListUpdate,
+    FinalResponse, IncomingRequest, Message, StopReason,
 };
 use crate::request_table::{NewAttempt, RequestTable, Timer};
 use crate::upstream::Upstream;
@@ -83,8 +83,8 @@
         while let Some(timer) = self.requests.pop_due(now) {
             match timer {
                 Timer::Balancer(timer) => self.on_event(Event::Timer(timer)),
-                Timer::AttemptTimeout(id, number) => {
-                    self.requests.stop_attempt(id, number, StopReason::TimedOut);
+                Timer::AttemptTimeout(id) => {
+                    self.requests.stop_attempt(id, StopReason::TimedOut);
                 }
                 Timer::Deadline(id) => self.on_deadline(id),
             }
@@ -95,8 +95,8 @@
         match message {
             Message::Request(request) => self.on_request(*request),
             Message::ClientDisconnected(id) => self.on_client_disconnected(id),
-            Message::AttemptEnded(result) => self.on_attempt_ended(result),
-            Message::HealthCheckEnded(result) => self.on_health_check_ended(result),
+            Message::AttemptEnded(completed) => self.on_attempt_ended(completed),
+            Message::HealthCheckEnded(completed) => self.on_health_check_ended(completed),
             Message::EndpointList(update) => self.on_endpoint_list(update),
             Message::Shutdown => self.on_shutdown(),
         }
@@ -105,16 +105,16 @@
     fn on_request(&mut self, incoming: IncomingRequest) {
         let IncomingRequest {
             mut request,
-            received,
-            forward,
-            reply,
+            received_at,
+            upstream_request,
+            response_sender,
         } = incoming;
         let id = request.id;
-        let queued = self.clock.now().saturating_sub(received);
+        let queued = self.clock.now().saturating_sub(received_at);
         request.remaining = request.remaining.saturating_sub(queued);
         // A tick early: the answer is to reach the client before it stops waiting.
-        let answer_by = forward.deadline.saturating_sub(self.tick);
-        self.requests.insert(id, forward, reply);
+        let answer_by = upstream_request.deadline.saturating_sub(self.tick);
+        self.requests.insert(id, upstream_request, response_sender);
         self.requests.set_timer(answer_by, Timer::Deadline(id));
         self.on_event(Event::Request(request));
     }
@@ -125,15 +125,17 @@
         }
     }
 
-    fn on_attempt_ended(&mut self, result: AttemptResult) {
-        let AttemptResult {
-            id,
-            number,
+    fn on_attempt_ended(&mut self, completed: CompletedAttempt) {
+        let CompletedAttempt {
+            id: AttemptId {
+                request: id,
+                number,
+            },
             outcome,
-            report,
-            body,
-        } = result;
-        let Some(attempt) = self.requests.attempt_ended(id, number) else {
+            load_report: report,
+            response_body: body,
+        } = completed;
+        let Some(attempt) = self.requests.attempt_ended(completed.id) else {
             return;
         };
         // The first response that was served is the final response; a later one only informs the
@@ -153,14 +155,14 @@
         }));
     }
 
-    fn on_health_check_ended(&mut self, result: HealthCheckResult) {
-        let HealthCheckResult {
+    fn on_health_check_ended(&mut self, completed: CompletedHealthCheck) {
+        let CompletedHealthCheck {
             endpoint,
             outcome,
-            started,
-            report,
-        } = result;
-        let elapsed = self.clock.now().saturating_sub(started);
+            started_at,
+            load_report: report,
+        } = completed;
+        let elapsed = self.clock.now().saturating_sub(started_at);
         self.on_event(Event::HealthCheckEnded(HealthCheckEnd {
             endpoint,
             outcome,
@@ -231,8 +233,11 @@
                 self.requests.answer(id, FinalResponse::Failed);
             }
             Action::CancelAttempt { id, attempt } => {
-                self.requests
-                    .stop_attempt(id, attempt, StopReason::Cancelled);
+                let id = AttemptId {
+                    request: id,
+                    number: attempt,
+                };
+                self.requests.stop_attempt(id, StopReason::Cancelled);
             }
             Action::SetTimer { after, timer } => {
                 self.requests
@@ -262,17 +267,19 @@
         {
             NewAttempt::Started {
                 number,
-                forward,
+                upstream_request,
                 stopped,
             } => {
-                let expires_at = attempt_end(now, timeout, forward.deadline);
+                let expires_at = attempt_end(now, timeout, upstream_request.deadline);
                 self.spawn_attempt(
                     Attempt {
-                        id,
-                        number,
+                        id: AttemptId {
+                            request: id,
+                            number,
+                        },
                         endpoint,
                         expires_at,
-                        forward,
+                        upstream_request,
                     },
                     stopped,
                 );
@@ -294,10 +301,8 @@
     }
 
     fn spawn_attempt(&mut self, attempt: Attempt, stopped: oneshot::Receiver<StopReason>) {
-        self.requests.set_timer(
-            attempt.expires_at,
-            Timer::AttemptTimeout(attempt.id, attempt.number),
-        );
+        self.requests
+            .set_timer(attempt.expires_at, Timer::AttemptTimeout(attempt.id));
         let upstream = self.upstream.clone();
         let messages = self.messages.clone();
         spawn_local(async move {
--- a/crates/node/src/driver/tests/host.rs
+++ b/crates/node/src/driver/tests/host.rs
@@ -3,7 +3,7 @@
 use super::super::*;
 use crate::config::Config;
 use crate::memory_budget::Budget;
-use crate::message::{ForwardedRequest, ListedEndpoint};
+use crate::message::{ListedEndpoint, UpstreamRequest};
 use crate::request_table::Usage;
 use bytes::Bytes;
 use hyper::Method;
@@ -163,7 +163,7 @@
         } else {
             self.body()
         };
-        let forward = ForwardedRequest {
+        let upstream_request = UpstreamRequest {
             method,
             path,
             call_id: HeaderValue::from(id.0),
@@ -171,9 +171,9 @@
             body: RefCell::new(Some(body)),
             deadline: now + remaining,
             idempotency_window: (class == SUBMIT).then_some(Duration::from_secs(60)),
-            first_byte: Cell::new(None),
+            first_sent_at: Cell::new(None),
         };
-        let (reply, answer) = oneshot::channel();
+        let (response_sender, answer) = oneshot::channel();
         let request = NewRequest {
             id,
             class,
@@ -182,9 +182,9 @@
         };
         let incoming = Box::new(IncomingRequest {
             request,
-            received: now,
-            forward,
-            reply,
+            received_at: now,
+            upstream_request,
+            response_sender,
         });
         self.messages
             .send(Message::Request(incoming))
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -19,9 +19,9 @@
     /// The client of a request has disconnected.
     ClientDisconnected(RequestId),
     /// An attempt has ended.
-    AttemptEnded(AttemptResult),
+    AttemptEnded(CompletedAttempt),
     /// A health check has ended.
-    HealthCheckEnded(HealthCheckResult),
+    HealthCheckEnded(CompletedHealthCheck),
     /// The endpoint list has changed, or could not be fetched.
     EndpointList(EndpointListUpdate),
     /// The node ends: every request in flight gets its final response now.
@@ -32,12 +32,12 @@
 pub struct IncomingRequest {
     /// The request as the balancer sees it.
     pub request: NewRequest,
-    /// When its last byte was read.
-    pub received: Duration,
-    /// What its attempts forward.
-    pub forward: ForwardedRequest,
-    /// Where its final response goes.
-    pub reply: oneshot::Sender<FinalResponse>,
+    /// When its last byte was read, as the node's clock shows it.
+    pub received_at: Duration,
+    /// What its attempts send to endpoints.
+    pub upstream_request: UpstreamRequest,
+    /// Takes its final response.
+    pub response_sender: oneshot::Sender<FinalResponse>,
 }
 
 /// The one final response to a request.
@@ -49,46 +49,46 @@
     Shed(Option<Duration>),
     /// Failed, with no promise that a retry is safe.
     Failed,
-    /// Unanswered at the deadline, with no promise that a retry is safe.
+    /// No response by the deadline, with no promise that a retry is safe.
     TimedOut,
 }
 
-/// What all attempts of a request share: the parts that are forwarded unchanged, and the limits on
-/// sending them.
-pub struct ForwardedRequest {
-    /// The request's method.
+/// A request as its attempts send it to endpoints: the parts that are forwarded unchanged, and the
+/// limits on sending them. All attempts share one.
+pub struct UpstreamRequest {
+    /// The HTTP method.
     pub method: Method,
-    /// The request's path and query.
+    /// The path and query.
     pub path: PathAndQuery,
-    /// The request's X-Call-Id.
+    /// The value of X-Call-Id.
     pub call_id: HeaderValue,
-    /// The request's Idempotency-Key.
+    /// The value of Idempotency-Key, if the client sent one.
     pub idempotency_key: Option<HeaderValue>,
-    /// The request's body; `None` once nothing more may be sent.
+    /// The body; `None` once no attempt may send the request any more.
     pub body: RefCell<Option<Bytes>>,
-    /// When the client stops waiting.
+    /// When the client stops waiting, as the node's clock shows it.
     pub deadline: Duration,
     /// How long endpoints remember the idempotency key, from the first byte of the first attempt.
     pub idempotency_window: Option<Duration>,
-    /// When the first byte of the first attempt was written.
-    pub first_byte: Cell<Option<Duration>>,
+    /// When the first byte of the first attempt was written; `None` before that.
+    pub first_sent_at: Cell<Option<Duration>>,
 }
 
-impl ForwardedRequest {
-    /// The body to be sent; `None` once the request has its final response or its client has
-    /// disconnected: then nothing more is sent for it.
+impl UpstreamRequest {
+    /// Returns the body to send; `None` once the request has its final response or its client has
+    /// disconnected, after which nothing more is sent for it.
     pub fn body(&self) -> Option<Bytes> {
         self.body.borrow().clone()
     }
 
-    /// Ends all sending. The body's lease of the memory budget ends as soon as what is being
-    /// written now has been written or dropped.
-    pub fn close(&self) {
+    /// Discards the body, so that no further attempt sends the request. The body's lease of the
+    /// memory budget ends once the copies that are being written have been written or dropped.
+    pub fn discard_body(&self) {
         self.body.replace(None);
     }
 }
 
-/// Why an attempt is stopped.
+/// The reason for which an attempt is stopped.
 pub enum StopReason {
     /// Its timeout has passed.
     TimedOut,
@@ -96,30 +96,37 @@
     Cancelled,
 }
 
-/// How an attempt ended.
-pub struct AttemptResult {
-    /// The request.
-    pub id: RequestId,
-    /// The number of the attempt among those of the request, from 0.
+/// Identifies an attempt.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AttemptId {
+    /// The request that is attempted.
+    pub request: RequestId,
+    /// The position of the attempt among those of the request, from 0.
     pub number: u32,
+}
+
+/// An attempt that has ended.
+pub struct CompletedAttempt {
+    /// Which attempt it was.
+    pub id: AttemptId,
     /// How it ended.
     pub outcome: Outcome,
-    /// The load report that came with the response.
-    pub report: Option<LoadReport>,
+    /// The load report that came with the response, if any.
+    pub load_report: Option<LoadReport>,
     /// The body of the response, if the request was served.
-    pub body: Option<Bytes>,
+    pub response_body: Option<Bytes>,
 }
 
-/// How a health check ended.
-pub struct HealthCheckResult {
+/// A health check that has ended.
+pub struct CompletedHealthCheck {
     /// The endpoint that was checked.
     pub endpoint: EndpointId,
     /// How it ended.
     pub outcome: Outcome,
-    /// When it started.
-    pub started: Duration,
-    /// The load report that came with the response.
-    pub report: Option<LoadReport>,
+    /// When it started, as the node's clock shows it.
+    pub started_at: Duration,
+    /// The load report that came with the response, if any.
+    pub load_report: Option<LoadReport>,
 }
 
 /// An entry of the endpoint list, and where that endpoint listens.
--- a/crates/node/src/request_table.rs
+++ b/crates/node/src/request_table.rs
@@ -4,7 +4,7 @@
 //! answer and all its attempts have ended, it leaves together with its timers, whichever event came
 //! last. No caller has to remember that.
 
-use crate::message::{FinalResponse, ForwardedRequest, StopReason};
+use crate::message::{AttemptId, FinalResponse, StopReason, UpstreamRequest};
 use ottertiller_balancer::{EndpointId, RequestId};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -13,7 +13,7 @@
 
 /// A request and its attempts.
 struct InFlightRequest {
-    forward: Rc<ForwardedRequest>,
+    upstream_request: Rc<UpstreamRequest>,
     /// Where the final response goes; `None` once it has been sent or the client has disconnected.
     reply: Option<oneshot::Sender<FinalResponse>>,
     /// In the order of their start: an attempt's number is its position.
@@ -69,8 +69,8 @@
     Started {
         /// The number it has.
         number: u32,
-        /// What it forwards.
-        forward: Rc<ForwardedRequest>,
+        /// What it sends.
+        upstream_request: Rc<UpstreamRequest>,
         /// Receives the reason if it is to stop.
         stopped: oneshot::Receiver<StopReason>,
     },
@@ -95,8 +95,8 @@
 pub enum Timer {
     /// The balancer's own.
     Balancer(ottertiller_balancer::Timer),
-    /// The timeout of an attempt, by its request and number.
-    AttemptTimeout(RequestId, u32),
+    /// The timeout of an attempt.
+    AttemptTimeout(AttemptId),
     /// The deadline of a request.
     Deadline(RequestId),
 }
@@ -107,9 +107,8 @@
         use ottertiller_balancer::Timer as BalancerTimer;
         match self {
             Timer::Balancer(BalancerTimer::EndpointPolling) => None,
-            Timer::Balancer(BalancerTimer::Request(id))
-            | Timer::AttemptTimeout(id, _)
-            | Timer::Deadline(id) => Some(id),
+            Timer::Balancer(BalancerTimer::Request(id)) | Timer::Deadline(id) => Some(id),
+            Timer::AttemptTimeout(id) => Some(id.request),
         }
     }
 }
@@ -138,11 +137,11 @@
     pub fn insert(
         &mut self,
         id: RequestId,
-        forward: ForwardedRequest,
+        upstream_request: UpstreamRequest,
         reply: oneshot::Sender<FinalResponse>,
     ) {
         let request = InFlightRequest {
-            forward: Rc::new(forward),
+            upstream_request: Rc::new(upstream_request),
             reply: Some(reply),
             attempts: Vec::new(),
             timers: Vec::new(),
@@ -168,7 +167,7 @@
     fn take_reply(&mut self, id: RequestId) -> Option<oneshot::Sender<FinalResponse>> {
         let request = self.requests.get_mut(&id)?;
         let reply = request.reply.take()?;
-        request.forward.close();
+        request.upstream_request.discard_body();
         self.remove_if_finished(id);
         Some(reply)
     }
@@ -185,7 +184,7 @@
         let request = self.requests.get_mut(&id)?;
         let number = request.attempts.len() as u32;
         let is_answered = request.is_answered();
-        let is_overdue = now >= request.forward.deadline;
+        let is_overdue = now >= request.upstream_request.deadline;
         if is_answered || is_overdue || request.attempts.len() >= max_attempts {
             request.attempts.push(AttemptEntry {
                 endpoint,
@@ -205,16 +204,16 @@
         });
         Some(NewAttempt::Started {
             number,
-            forward: request.forward.clone(),
+            upstream_request: request.upstream_request.clone(),
             stopped,
         })
     }
 
     /// An attempt has ended; `None` if it is not known or had ended before.
-    pub fn attempt_ended(&mut self, id: RequestId, number: u32) -> Option<EndedAttempt> {
-        let request = self.requests.get_mut(&id)?;
+    pub fn attempt_ended(&mut self, id: AttemptId) -> Option<EndedAttempt> {
+        let request = self.requests.get_mut(&id.request)?;
         let was_answered = request.is_answered();
-        let attempt = request.attempts.get_mut(number as usize)?;
+        let attempt = request.attempts.get_mut(id.number as usize)?;
         if attempt.has_ended() {
             return None;
         }
@@ -224,16 +223,16 @@
             started: attempt.started,
             was_answered,
         };
-        self.remove_if_finished(id);
+        self.remove_if_finished(id.request);
         Some(ended)
     }
 
     /// Stops an attempt that is in flight. Its outcome is still to come.
-    pub fn stop_attempt(&mut self, id: RequestId, number: u32, reason: StopReason) {
-        let Some(request) = self.requests.get_mut(&id) else {
+    pub fn stop_attempt(&mut self, id: AttemptId, reason: StopReason) {
+        let Some(request) = self.requests.get_mut(&id.request) else {
             return;
         };
-        let Some(attempt) = request.attempts.get_mut(number as usize) else {
+        let Some(attempt) = request.attempts.get_mut(id.number as usize) else {
             return;
         };
         match std::mem::replace(&mut attempt.state, AttemptState::Stopping) {
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -1,14 +1,14 @@
 //! Attempts: sending a request to one endpoint, until it responds, the attempt fails or it is
 //! stopped.
 
-use crate::message::{AttemptResult, ForwardedRequest, StopReason};
+use crate::message::{AttemptId, CompletedAttempt, StopReason, UpstreamRequest};
 use crate::upstream::Upstream;
 use crate::upstream::pool::Connection;
 use crate::upstream::response::{ExchangeResult, outcome_of_error};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
-use ottertiller_balancer::{EndpointId, Outcome, RequestId};
+use ottertiller_balancer::{EndpointId, Outcome};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,16 +20,14 @@
 
 /// An attempt to be made.
 pub struct Attempt {
-    /// The request.
-    pub id: RequestId,
-    /// The number of the attempt, from 0.
-    pub number: u32,
+    /// The attempt.
+    pub id: AttemptId,
     /// Where it goes.
     pub endpoint: EndpointId,
     /// When the node stops waiting for it.
     pub expires_at: Duration,
     /// What is sent.
-    pub forward: Rc<ForwardedRequest>,
+    pub upstream_request: Rc<UpstreamRequest>,
 }
 
 impl Upstream {
@@ -38,7 +36,7 @@
         self: Rc<Self>,
         attempt: Attempt,
         stopped: oneshot::Receiver<StopReason>,
-    ) -> AttemptResult {
+    ) -> CompletedAttempt {
         let written = Cell::new(false);
         let result = tokio::select! {
             biased;
@@ -46,12 +44,11 @@
             // The exchange is dropped, and its connection closes.
             reason = stopped => ExchangeResult::without_response(outcome_of_stop(reason, written.get())),
         };
-        AttemptResult {
+        CompletedAttempt {
             id: attempt.id,
-            number: attempt.number,
             outcome: result.outcome,
-            report: result.report,
-            body: result.body,
+            load_report: result.report,
+            response_body: result.body,
         }
     }
 
--- a/crates/node/src/upstream/attempt/tests.rs
+++ b/crates/node/src/upstream/attempt/tests.rs
@@ -8,7 +8,7 @@
 use crate::upstream::pool::tests::{ENDPOINT, with_pool};
 use hyper::Method;
 use hyper::header::HeaderValue;
-use ottertiller_balancer::{EndpointState, ListKind, LoadReportSource};
+use ottertiller_balancer::{EndpointState, ListKind, LoadReportSource, RequestId};
 use rustix::io::Errno;
 use std::cell::RefCell;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -32,7 +32,7 @@
     with_pool(async |pool, listener, endpoint| {
         let clock = Clock::start();
         let now = clock.now();
-        let forward = ForwardedRequest {
+        let upstream_request = UpstreamRequest {
             method: Method::POST,
             path: hyper::http::uri::PathAndQuery::from_static("/submit/1"),
             call_id: HeaderValue::from_static("1"),
@@ -40,15 +40,17 @@
             body: RefCell::new(Some(Bytes::new())),
             deadline: now + MINUTE,
             idempotency_window: Some(MINUTE),
-            first_byte: Cell::new(None),
+            first_sent_at: Cell::new(None),
         };
-        let (expires_at, forward) = (now + MINUTE, Rc::new(forward));
+        let expires_at = now + MINUTE;
         let mut attempt = Attempt {
-            id: RequestId(1),
-            number: 0,
+            id: AttemptId {
+                request: RequestId(1),
+                number: 0,
+            },
             endpoint: ENDPOINT,
             expires_at,
-            forward,
+            upstream_request: Rc::new(upstream_request),
         };
         change(&pool, &mut attempt, endpoint, now);
         let (_stop, stopped) = oneshot::channel();
@@ -85,10 +87,14 @@
     let nothing = || (Outcome::NotSent, String::new());
     let late = outcome_after(|_, attempt, _, now| attempt.expires_at = now);
     assert_eq!(late, nothing(), "its time is over");
-    let over = outcome_after(|_, attempt, _, _| attempt.forward.close());
+    let over = outcome_after(|_, attempt, _, _| attempt.upstream_request.discard_body());
     assert_eq!(over, nothing(), "the request has its final response");
-    let forgotten =
-        outcome_after(|_, attempt, _, now| attempt.forward.first_byte.set(Some(now - 2 * MINUTE)));
+    let forgotten = outcome_after(|_, attempt, _, now| {
+        attempt
+            .upstream_request
+            .first_sent_at
+            .set(Some(now - 2 * MINUTE))
+    });
     assert_eq!(
         forgotten,
         nothing(),
--- a/crates/node/src/upstream/health_check.rs
+++ b/crates/node/src/upstream/health_check.rs
@@ -1,7 +1,7 @@
 //! Health checks: asking an endpoint for its load, or whether it is alive where endpoints report no
 //! load.
 
-use crate::message::HealthCheckResult;
+use crate::message::CompletedHealthCheck;
 use crate::upstream::response::{ExchangeResult, outcome_of_error};
 use crate::upstream::{Upstream, request};
 use ottertiller_balancer::{EndpointId, LoadReport, Outcome};
@@ -22,15 +22,15 @@
         self: Rc<Self>,
         endpoint: EndpointId,
         started: Duration,
-    ) -> HealthCheckResult {
+    ) -> CompletedHealthCheck {
         let exchange = timeout(HEALTH_CHECK_TIMEOUT, self.exchange_health_check(endpoint)).await;
         let result = exchange.unwrap_or(ExchangeResult::without_response(Outcome::TimedOut));
         let report = self.report_of_health_check(&result);
-        HealthCheckResult {
+        CompletedHealthCheck {
             endpoint,
             outcome: result.outcome,
-            started,
-            report,
+            started_at: started,
+            load_report: report,
         }
     }
 
--- a/crates/node/src/upstream/request.rs
+++ b/crates/node/src/upstream/request.rs
@@ -24,13 +24,13 @@
         if now >= self.expires_at || self.is_key_forgotten(now) {
             return None;
         }
-        let body = self.forward.body()?;
+        let body = self.upstream_request.body()?;
         let mut request = Request::new(Full::new(body));
-        *request.method_mut() = self.forward.method.clone();
-        *request.uri_mut() = self.forward.path.clone().into();
+        *request.method_mut() = self.upstream_request.method.clone();
+        *request.uri_mut() = self.upstream_request.path.clone().into();
         self.insert_headers(request.headers_mut(), now, destination);
-        if self.forward.first_byte.get().is_none() {
-            self.forward.first_byte.set(Some(now));
+        if self.upstream_request.first_sent_at.get().is_none() {
+            self.upstream_request.first_sent_at.set(Some(now));
         }
         Some(request)
     }
@@ -39,8 +39,8 @@
     /// again.
     fn is_key_forgotten(&self, now: Duration) -> bool {
         match (
-            self.forward.idempotency_window,
-            self.forward.first_byte.get(),
+            self.upstream_request.idempotency_window,
+            self.upstream_request.first_sent_at.get(),
         ) {
             (Some(window), Some(first_byte)) => now >= first_byte + window,
             _ => false,
@@ -50,9 +50,9 @@
     fn insert_headers(&self, headers: &mut HeaderMap, now: Duration, destination: SocketAddr) {
         let remaining_ms = (self.expires_at - now).as_millis().max(1) as u64;
         headers.insert(HOST, host(destination));
-        headers.insert(CALL_ID, self.forward.call_id.clone());
+        headers.insert(CALL_ID, self.upstream_request.call_id.clone());
         headers.insert(BUDGET_MS, remaining_ms.into());
-        if let Some(key) = &self.forward.idempotency_key {
+        if let Some(key) = &self.upstream_request.idempotency_key {
             headers.insert(IDEMPOTENCY_KEY, key.clone());
         }
     }
