--- a/crates/node/src/discovery/tests.rs
+++ b/crates/node/src/discovery/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::clock::Clock;
 use crate::config::Config;
-use crate::driver::Driver;
+use crate::driver::{Driver, DriverChannels};
 use crate::memory_budget::Budget;
 use crate::upstream::Upstream;
 use ottertiller_balancer::settings::millis;
@@ -142,7 +142,11 @@
             Budget::new(1 << 20),
         );
         let options = crate::startup::driver_options(config);
-        let mut driver = Driver::new(clock, options, upstream, messages.clone(), commands);
+        let channels = DriverChannels {
+            messages: messages.clone(),
+            discovery: commands,
+        };
+        let mut driver = Driver::new(clock, options, upstream, channels);
         let driver = spawn_local(async move { driver.run(&mut inbox).await });
         let discovery = Discovery::new(crate::startup::discovery_options(config), messages);
         let discovery = spawn_local(discovery.run(discovery_commands, addresses));
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -1,22 +1,29 @@
-//! The driver, the only owner of the [`Balancer`]. Its loop passes events to the balancer and
-//! carries out the actions that come back; it decides nothing itself. Its [`RequestTable`] alone
-//! gives final responses, and gives each request exactly one.
+//! The driver, which alone owns the [`Balancer`].
+//!
+//! Its loop turns messages and timers into events for the balancer, and carries out the actions
+//! that come back; it decides nothing itself. Its [`RequestTable`] alone gives final responses, and
+//! gives each request exactly one.
+
+mod actions;
+mod request_table;
+mod tasks;
+mod timer_queue;
 
 use crate::clock::Clock;
-use crate::logging::{log, log_peer};
+use crate::logging::log_peer;
 use crate::message::{
-    AttemptId, CompletedAttempt, CompletedHealthCheck, DiscoveryCommand, EndpointListUpdate,
-    FinalResponse, IncomingRequest, Message, StopReason,
+    CompletedAttempt, CompletedHealthCheck, DiscoveryCommand, EndpointListUpdate, FinalResponse,
+    IncomingRequest, Message, StopReason,
 };
-use crate::request_table::{NewAttempt, RequestTable, Timer};
 use crate::upstream::Upstream;
-use crate::upstream::attempt::Attempt;
-use ottertiller_balancer::*;
+use ottertiller_balancer::{AttemptEnd, Balancer, Event, HealthCheckEnd, RequestId, Settings};
+use request_table::RequestTable;
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::sync::{mpsc, oneshot};
-use tokio::task::spawn_local;
+use tasks::TaskSpawner;
+use timer_queue::DriverTimer;
+use tokio::sync::mpsc;
 use tokio::time::sleep_until;
 
 /// The options of the driver.
@@ -27,38 +34,43 @@
     pub seed: u64,
 }
 
+/// The channels on which the driver sends.
+pub struct DriverChannels {
+    /// Leads to the driver's own inbox, for the tasks that it spawns.
+    pub messages: mpsc::Sender<Message>,
+    /// Leads to discovery.
+    pub discovery: mpsc::Sender<DiscoveryCommand>,
+}
+
 /// Runs the balancer, and carries out what it decides.
 pub struct Driver {
     clock: Clock,
     balancer: Balancer,
     upstream: Rc<Upstream>,
-    /// To the driver itself, for the tasks that it spawns.
-    messages: mpsc::Sender<Message>,
+    tasks: TaskSpawner,
     discovery: mpsc::Sender<DiscoveryCommand>,
     tick: Duration,
-    max_attempts: usize,
     requests: RequestTable,
 }
 
 impl Driver {
-    /// A driver without requests. `messages` leads to the inbox that it will be run with.
+    /// Creates a driver without requests.
     pub fn new(
         clock: Clock,
         options: DriverOptions,
         upstream: Rc<Upstream>,
-        messages: mpsc::Sender<Message>,
-        discovery: mpsc::Sender<DiscoveryCommand>,
+        channels: DriverChannels,
     ) -> Self {
         let settings = options.settings;
+        let max_attempts = settings.limits.max_attempts.max(1) as usize;
         Driver {
             clock,
+            tasks: TaskSpawner::new(upstream.clone(), channels.messages),
             upstream,
-            messages,
-            discovery,
+            discovery: channels.discovery,
             tick: settings.tick,
-            max_attempts: settings.limits.max_attempts.max(1) as usize,
+            requests: RequestTable::new(max_attempts),
             balancer: Balancer::new(settings, options.seed),
-            requests: RequestTable::default(),
         }
     }
 
@@ -82,11 +94,11 @@
         let now = self.clock.now();
         while let Some(timer) = self.requests.pop_due(now) {
             match timer {
-                Timer::Balancer(timer) => self.on_event(Event::Timer(timer)),
-                Timer::AttemptTimeout(id) => {
+                DriverTimer::Balancer(timer) => self.handle_event(Event::Timer(timer)),
+                DriverTimer::AttemptTimeout(id) => {
                     self.requests.stop_attempt(id, StopReason::TimedOut);
                 }
-                Timer::Deadline(id) => self.on_deadline(id),
+                DriverTimer::Deadline(id) => self.on_deadline(id),
             }
         }
     }
@@ -112,99 +124,83 @@
         let id = request.id;
         let queued = self.clock.now().saturating_sub(received_at);
         request.remaining = request.remaining.saturating_sub(queued);
-        // A tick early: the answer is to reach the client before it stops waiting.
-        let answer_by = upstream_request.deadline.saturating_sub(self.tick);
+        // A tick early, so that the response reaches the client before it stops waiting.
+        let respond_by = upstream_request.deadline.saturating_sub(self.tick);
         self.requests.insert(id, upstream_request, response_sender);
-        self.requests.set_timer(answer_by, Timer::Deadline(id));
-        self.on_event(Event::Request(request));
+        self.requests
+            .set_timer(respond_by, DriverTimer::Deadline(id));
+        self.handle_event(Event::Request(request));
     }
 
     fn on_client_disconnected(&mut self, id: RequestId) {
-        if self.requests.abandon(id) {
-            self.on_event(Event::ClientDisconnected { id });
+        if self.requests.client_disconnected(id) {
+            self.handle_event(Event::ClientDisconnected { id });
         }
     }
 
     fn on_attempt_ended(&mut self, completed: CompletedAttempt) {
-        let CompletedAttempt {
-            id: AttemptId {
-                request: id,
-                number,
-            },
-            outcome,
-            load_report: report,
-            response_body: body,
-        } = completed;
-        let Some(attempt) = self.requests.attempt_ended(completed.id) else {
+        let id = completed.id;
+        let Some(attempt) = self.requests.end_attempt(id) else {
             return;
         };
         // The first response that was served is the final response; a later one only informs the
         // balancer.
-        let answers_now = match body {
-            Some(body) => self.requests.answer(id, FinalResponse::Served(body)),
-            None => false,
-        };
-        self.on_event(Event::AttemptEnded(AttemptEnd {
-            id,
-            attempt: number,
+        let responds_now = completed.response_body.is_some_and(|body| {
+            self.requests
+                .respond(id.request, FinalResponse::Served(body))
+        });
+        self.handle_event(Event::AttemptEnded(AttemptEnd {
+            id: id.request,
+            attempt: id.number,
             endpoint: attempt.endpoint,
-            outcome,
-            elapsed: self.clock.now().saturating_sub(attempt.started),
-            request_finished: attempt.was_answered || answers_now,
-            report,
+            outcome: completed.outcome,
+            elapsed: self.clock.now().saturating_sub(attempt.started_at),
+            request_finished: attempt.had_response || responds_now,
+            report: completed.load_report,
         }));
     }
 
     fn on_health_check_ended(&mut self, completed: CompletedHealthCheck) {
-        let CompletedHealthCheck {
-            endpoint,
-            outcome,
-            started_at,
-            load_report: report,
-        } = completed;
-        let elapsed = self.clock.now().saturating_sub(started_at);
-        self.on_event(Event::HealthCheckEnded(HealthCheckEnd {
-            endpoint,
-            outcome,
-            elapsed,
-            report,
+        self.handle_event(Event::HealthCheckEnded(HealthCheckEnd {
+            endpoint: completed.endpoint,
+            outcome: completed.outcome,
+            elapsed: self.clock.now().saturating_sub(completed.started_at),
+            report: completed.load_report,
         }));
     }
 
     fn on_endpoint_list(&mut self, update: EndpointListUpdate) {
-        self.upstream
-            .update_endpoints(update.kind, &update.endpoints);
+        let kind = update.kind;
+        self.upstream.update_endpoints(kind, &update.endpoints);
         let entries = update
             .endpoints
             .into_iter()
             .map(|endpoint| endpoint.entry)
             .collect();
-        self.on_event(Event::EndpointList {
-            kind: update.kind,
-            entries,
-        });
+        self.handle_event(Event::EndpointList { kind, entries });
     }
 
     fn on_shutdown(&mut self) {
-        for id in self.requests.unanswered() {
+        for id in self.requests.awaiting_response() {
             self.on_deadline(id);
         }
     }
 
-    /// Whatever the balancer does, no request is left without an answer at its deadline.
+    /// Ends a request that still awaits its final response. Whatever the balancer does, no request
+    /// is left without one at its deadline.
     fn on_deadline(&mut self, id: RequestId) {
-        if self.requests.answer(id, FinalResponse::TimedOut) {
+        if self.requests.respond(id, FinalResponse::TimedOut) {
             log_peer(format_args!(
                 "request {}: deadline exceeded without a final response",
                 id.0
             ));
-            self.on_event(Event::ClientDisconnected { id });
+            self.handle_event(Event::ClientDisconnected { id });
         }
     }
 
     /// Passes an event to the balancer, and carries out the actions that follow, with the events
     /// that these cause.
-    fn on_event(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let mut actions = Vec::new();
@@ -214,129 +210,6 @@
             }
         }
     }
-
-    /// Carries out an action. An attempt that cannot even start ends at once, with the event
-    /// returned.
-    fn execute(&mut self, action: Action) -> Option<Event> {
-        match action {
-            Action::StartAttempt {
-                id,
-                endpoint,
-                timeout,
-            } => {
-                return self.start_attempt(id, endpoint, timeout);
-            }
-            Action::Shed { id, retry_after } => {
-                self.requests.answer(id, FinalResponse::Shed(retry_after));
-            }
-            Action::Fail { id } => {
-                self.requests.answer(id, FinalResponse::Failed);
-            }
-            Action::CancelAttempt { id, attempt } => {
-                let id = AttemptId {
-                    request: id,
-                    number: attempt,
-                };
-                self.requests.stop_attempt(id, StopReason::Cancelled);
-            }
-            Action::SetTimer { after, timer } => {
-                self.requests
-                    .set_timer(self.clock.now() + after, Timer::Balancer(timer));
-            }
-            Action::HealthCheck { endpoint } => self.start_health_check(endpoint),
-            Action::Subscribe { enabled: true } => {
-                self.command_discovery(DiscoveryCommand::Subscribe)
-            }
-            Action::Subscribe { enabled: false } => {
-                self.command_discovery(DiscoveryCommand::Unsubscribe)
-            }
-        }
-        None
-    }
-
-    fn start_attempt(
-        &mut self,
-        id: RequestId,
-        endpoint: EndpointId,
-        timeout: Duration,
-    ) -> Option<Event> {
-        let now = self.clock.now();
-        match self
-            .requests
-            .start_attempt(id, endpoint, now, self.max_attempts)?
-        {
-            NewAttempt::Started {
-                number,
-                upstream_request,
-                stopped,
-            } => {
-                let expires_at = attempt_end(now, timeout, upstream_request.deadline);
-                self.spawn_attempt(
-                    Attempt {
-                        id: AttemptId {
-                            request: id,
-                            number,
-                        },
-                        endpoint,
-                        expires_at,
-                        upstream_request,
-                    },
-                    stopped,
-                );
-                None
-            }
-            NewAttempt::Refused {
-                number,
-                is_answered,
-            } => Some(Event::AttemptEnded(AttemptEnd {
-                id,
-                attempt: number,
-                endpoint,
-                outcome: Outcome::NotSent,
-                elapsed: Duration::ZERO,
-                request_finished: is_answered,
-                report: None,
-            })),
-        }
-    }
-
-    fn spawn_attempt(&mut self, attempt: Attempt, stopped: oneshot::Receiver<StopReason>) {
-        self.requests
-            .set_timer(attempt.expires_at, Timer::AttemptTimeout(attempt.id));
-        let upstream = self.upstream.clone();
-        let messages = self.messages.clone();
-        spawn_local(async move {
-            let result = upstream.run_attempt(attempt, stopped).await;
-            // Fails only when the driver has ended.
-            let _ = messages.send(Message::AttemptEnded(result)).await;
-        });
-    }
-
-    fn start_health_check(&mut self, endpoint: EndpointId) {
-        let started = self.clock.now();
-        let upstream = self.upstream.clone();
-        let messages = self.messages.clone();
-        spawn_local(async move {
-            let result = upstream.check_health(endpoint, started).await;
-            let _ = messages.send(Message::HealthCheckEnded(result)).await; // as above
-        });
-    }
-
-    fn command_discovery(&mut self, command: DiscoveryCommand) {
-        if self.discovery.try_send(command).is_err() {
-            log("discovery queue full: command dropped");
-        }
-    }
-}
-
-/// When an attempt that starts now is stopped: at its timeout, if it has one, but at the deadline
-/// at the latest.
-fn attempt_end(now: Duration, timeout: Duration, deadline: Duration) -> Duration {
-    if timeout.is_zero() {
-        deadline
-    } else {
-        deadline.min(now + timeout)
-    }
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/node/src/driver/request_table/attempt.rs
@@ -0,0 +1,88 @@
+//! The states of one attempt, from its start to its end.
+
+use crate::message::StopReason;
+use ottertiller_balancer::EndpointId;
+use std::time::Duration;
+use tokio::sync::oneshot;
+
+/// An attempt of a request in flight.
+pub struct TrackedAttempt {
+    endpoint: EndpointId,
+    started_at: Duration,
+    state: AttemptState,
+}
+
+/// An attempt's state. It moves from each state only to later ones.
+enum AttemptState {
+    /// In flight; the sender stops it.
+    Running(oneshot::Sender<StopReason>),
+    /// Told to stop; its outcome has not been reported.
+    Stopping,
+    /// Its outcome has been reported, or it was never started.
+    Ended,
+}
+
+/// An attempt that has just ended.
+pub struct EndedAttempt {
+    /// The endpoint to which it was sent.
+    pub endpoint: EndpointId,
+    /// When it started, as the node's clock shows it.
+    pub started_at: Duration,
+    /// Whether the request had its final response before this attempt ended.
+    pub had_response: bool,
+}
+
+impl TrackedAttempt {
+    /// Creates an attempt in flight. The receiver is notified when the attempt is to stop.
+    pub fn running(
+        endpoint: EndpointId,
+        started_at: Duration,
+    ) -> (Self, oneshot::Receiver<StopReason>) {
+        let (stop_sender, stop_signal) = oneshot::channel();
+        let attempt = TrackedAttempt {
+            endpoint,
+            started_at,
+            state: AttemptState::Running(stop_sender),
+        };
+        (attempt, stop_signal)
+    }
+
+    /// Creates an attempt that is never started, and so has ended already.
+    pub fn not_started(endpoint: EndpointId, now: Duration) -> Self {
+        TrackedAttempt {
+            endpoint,
+            started_at: now,
+            state: AttemptState::Ended,
+        }
+    }
+
+    /// Returns whether the attempt has ended.
+    pub fn has_ended(&self) -> bool {
+        matches!(self.state, AttemptState::Ended)
+    }
+
+    /// Tells an attempt in flight to stop. Does nothing if it is stopping or has ended.
+    pub fn stop(&mut self, reason: StopReason) {
+        match std::mem::replace(&mut self.state, AttemptState::Stopping) {
+            AttemptState::Running(stop_sender) => {
+                // An error means that the attempt has just ended, and its outcome is on its way.
+                let _ = stop_sender.send(reason);
+            }
+            unchanged => self.state = unchanged,
+        }
+    }
+
+    /// Ends the attempt; `None` if it had ended before. `has_response` says whether its request has
+    /// the final response.
+    pub fn end(&mut self, has_response: bool) -> Option<EndedAttempt> {
+        if self.has_ended() {
+            return None;
+        }
+        self.state = AttemptState::Ended;
+        Some(EndedAttempt {
+            endpoint: self.endpoint,
+            started_at: self.started_at,
+            had_response: has_response,
+        })
+    }
+}
--- /dev/null
+++ b/crates/node/src/driver/request_table/in_flight_request.rs
@@ -0,0 +1,132 @@
+//! One request in flight, with its attempts and the keys of its timers.
+
+use super::attempt::{EndedAttempt, TrackedAttempt};
+use crate::driver::timer_queue::TimerKey;
+use crate::message::{FinalResponse, StopReason, UpstreamRequest};
+use ottertiller_balancer::EndpointId;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::oneshot;
+
+/// A request in flight.
+pub struct InFlightRequest {
+    upstream_request: Rc<UpstreamRequest>,
+    /// Takes the final response; `None` once it has been sent or the client has disconnected.
+    response_sender: Option<oneshot::Sender<FinalResponse>>,
+    /// In the order of their start: an attempt's number is its position.
+    attempts: Vec<TrackedAttempt>,
+    /// The request's pending timers. They are removed with it, since a deadline may be minutes
+    /// away.
+    timers: Vec<TimerKey>,
+}
+
+/// A further attempt of a request, which is started if it is permitted.
+pub enum NewAttempt {
+    /// The attempt is to be made.
+    Started {
+        /// The number of the attempt.
+        number: u32,
+        /// The request to send.
+        upstream_request: Rc<UpstreamRequest>,
+        /// Receives the reason if the attempt is to stop.
+        stop_signal: oneshot::Receiver<StopReason>,
+    },
+    /// The attempt is not permitted, and counts as one that ended without being sent.
+    NotStarted {
+        /// The number of the attempt.
+        number: u32,
+        /// Whether the request has its final response.
+        has_response: bool,
+    },
+}
+
+impl InFlightRequest {
+    /// Creates a request without attempts that awaits its final response.
+    pub fn new(
+        upstream_request: UpstreamRequest,
+        response_sender: oneshot::Sender<FinalResponse>,
+    ) -> Self {
+        InFlightRequest {
+            upstream_request: Rc::new(upstream_request),
+            response_sender: Some(response_sender),
+            attempts: Vec::new(),
+            timers: Vec::new(),
+        }
+    }
+
+    /// Returns whether the request has its final response, or needs none as its client has
+    /// disconnected.
+    pub fn has_response(&self) -> bool {
+        self.response_sender.is_none()
+    }
+
+    /// Returns whether the request has its final response and all its attempts have ended.
+    pub fn is_finished(&self) -> bool {
+        self.has_response() && self.attempts.iter().all(TrackedAttempt::has_ended)
+    }
+
+    /// Takes the sender of the final response, after which no attempt sends the request any more;
+    /// `None` if it was taken before.
+    pub fn take_response_sender(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
+        let response_sender = self.response_sender.take()?;
+        self.upstream_request.discard_body();
+        Some(response_sender)
+    }
+
+    /// Starts a further attempt, unless the request has its final response, its deadline has passed
+    /// or it has had `max_attempts`.
+    pub fn start_attempt(
+        &mut self,
+        endpoint: EndpointId,
+        now: Duration,
+        max_attempts: usize,
+    ) -> NewAttempt {
+        let number = self.attempts.len() as u32;
+        let has_response = self.has_response();
+        let is_overdue = now >= self.upstream_request.deadline;
+        if has_response || is_overdue || self.attempts.len() >= max_attempts {
+            let attempt = TrackedAttempt::not_started(endpoint, now);
+            self.attempts.push(attempt);
+            return NewAttempt::NotStarted {
+                number,
+                has_response,
+            };
+        }
+        let (attempt, stop_signal) = TrackedAttempt::running(endpoint, now);
+        self.attempts.push(attempt);
+        NewAttempt::Started {
+            number,
+            upstream_request: self.upstream_request.clone(),
+            stop_signal,
+        }
+    }
+
+    /// Tells the attempt of this number to stop, if it is in flight.
+    pub fn stop_attempt(&mut self, number: u32, reason: StopReason) {
+        if let Some(attempt) = self.attempts.get_mut(number as usize) {
+            attempt.stop(reason);
+        }
+    }
+
+    /// Ends the attempt of this number; `None` if there is none or it had ended before.
+    pub fn end_attempt(&mut self, number: u32) -> Option<EndedAttempt> {
+        let has_response = self.has_response();
+        let attempt = self.attempts.get_mut(number as usize)?;
+        attempt.end(has_response)
+    }
+
+    /// Adds a pending timer.
+    pub fn add_timer(&mut self, key: TimerKey) {
+        self.timers.push(key);
+    }
+
+    /// Removes a timer that has fired.
+    pub fn remove_timer(&mut self, fired: TimerKey) {
+        self.timers.retain(|key| *key != fired);
+    }
+
+    /// Consumes the request, and returns its pending timers.
+    pub fn into_timers(self) -> Vec<TimerKey> {
+        self.timers
+    }
+}
--- a/crates/node/src/driver/tests.rs
+++ b/crates/node/src/driver/tests.rs
@@ -4,15 +4,19 @@
 mod host;
 mod scripted_endpoint;
 
-use super::*;
-use crate::message::ListedEndpoint;
+use crate::message::{EndpointListUpdate, FinalResponse, ListedEndpoint, Message};
 use host::{
     BODY, CORRECT, DEADLINE, Host, Peers, READ, SETTLED, SUBMIT, TARGET, config, in_virtual_time,
 };
+use ottertiller_balancer::{Action, EndpointState, ListKind};
 use scripted_endpoint::listed;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::time::Duration;
 use tokio::net::TcpListener;
+use tokio::sync::oneshot;
+use tokio::task::spawn_local;
 use tokio::time::sleep;
 
 fn is_shed(answer: &FinalResponse) -> bool {
@@ -161,7 +165,7 @@
             .await;
         assert_eq!(host.usage().1, BODY);
         // The table alone, so that the attempt is not cancelled at once.
-        assert!(host.driver.requests.abandon(id));
+        assert!(host.driver.requests.client_disconnected(id));
         let (usage, bytes) = host.usage();
         assert_eq!((usage.requests, bytes), (1, 0));
     });
--- a/crates/node/src/driver/tests/host.rs
+++ b/crates/node/src/driver/tests/host.rs
@@ -1,15 +1,23 @@
 //! A driver under test with the parts around it, in virtual time.
 
-use super::super::*;
+use crate::clock::Clock;
 use crate::config::Config;
+use crate::driver::request_table::RequestTableUsage;
+use crate::driver::{Driver, DriverChannels};
 use crate::memory_budget::Budget;
-use crate::message::{ListedEndpoint, UpstreamRequest};
-use crate::request_table::Usage;
+use crate::message::{
+    EndpointListUpdate, FinalResponse, IncomingRequest, ListedEndpoint, Message, UpstreamRequest,
+};
+use crate::startup::{driver_options, upstream_options};
+use crate::upstream::{Upstream, pool};
 use bytes::Bytes;
 use hyper::Method;
 use hyper::header::HeaderValue;
 use hyper::http::uri::PathAndQuery;
+use ottertiller_balancer::{ListKind, NewRequest, RequestId, TableSizes};
 use std::cell::{Cell, RefCell};
+use std::time::Duration;
+use tokio::sync::{mpsc, oneshot};
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
@@ -68,13 +76,12 @@
         let (messages, inbox) = mpsc::channel(4096);
         let (discovery, _) = mpsc::channel(16);
         let budget = Budget::new(BUDGET);
-        let upstream = Upstream::start(
-            clock,
-            crate::startup::upstream_options(config),
-            budget.clone(),
-        );
-        let options = crate::startup::driver_options(config);
-        let driver = Driver::new(clock, options, upstream, messages.clone(), discovery);
+        let upstream = Upstream::start(clock, upstream_options(config), budget.clone());
+        let channels = DriverChannels {
+            messages: messages.clone(),
+            discovery,
+        };
+        let driver = Driver::new(clock, driver_options(config), upstream, channels);
         Host {
             driver,
             inbox,
@@ -111,13 +118,13 @@
     }
 
     /// What every table of the node holds: the driver's, the balancer's and the pool's.
-    pub fn all_usage(&self) -> ((Usage, usize), TableSizes, crate::upstream::pool::Usage) {
+    pub fn all_usage(&self) -> ((RequestTableUsage, usize), TableSizes, pool::Usage) {
         let balancer = self.driver.balancer.table_sizes();
         (self.usage(), balancer, self.driver.upstream.pool_usage())
     }
 
     /// Requests, timers, and the bytes of the memory budget that are in use.
-    pub fn usage(&self) -> (Usage, usize) {
+    pub fn usage(&self) -> (RequestTableUsage, usize) {
         (
             self.driver.requests.usage(),
             BUDGET - self.peers.budget.free(),
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -16,7 +16,6 @@
 mod memory_budget;
 mod message;
 mod reload;
-mod request_table;
 mod signals;
 mod socket;
 mod startup;
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -5,7 +5,7 @@
 use crate::config::{Config, ConfigError};
 use crate::discovery::{self, Discovery};
 use crate::downstream::{self, Downstream};
-use crate::driver::{Driver, DriverOptions};
+use crate::driver::{Driver, DriverChannels, DriverOptions};
 use crate::logging::log;
 use crate::memory_budget::Budget;
 use crate::reload::reload_on_signal;
@@ -86,14 +86,11 @@
     let upstream = Upstream::start(clock, upstream_options(&config), budget.clone());
     let discovery = Discovery::new(discovery_options(&config), messages.clone());
     let is_ready = discovery.ready();
-    let driver_options = driver_options(&config);
-    let mut driver = Driver::new(
-        clock,
-        driver_options,
-        upstream,
-        messages.clone(),
-        discovery_commands,
-    );
+    let channels = DriverChannels {
+        messages: messages.clone(),
+        discovery: discovery_commands,
+    };
+    let mut driver = Driver::new(clock, driver_options(&config), upstream, channels);
     let downstream = Downstream::new(
         clock,
         downstream_options(&config),
