--- a/crates/balancer/src/settings/error.rs
+++ b/crates/balancer/src/settings/error.rs
@@ -1,23 +1,23 @@
-//! Why a settings file is refused.
+//! Errors of reading a settings file.
 
 use std::fmt;
 
-/// A settings file that cannot be used.
+/// The reason for which a settings file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// It is not the expected JSON.
-    #[error("bad settings: {0}")]
+    /// The file is not JSON of the expected form.
+    #[error(transparent)]
     Json(#[from] JsonError),
     /// `Classes` is an empty list.
-    #[error("bad settings: no classes: `Classes` must list at least one request class")]
+    #[error("no classes: `Classes` must list at least one request class")]
     NoClasses,
 }
 
-/// JSON that does not fit what is read from it, with the path of the key that does not, such as
-/// `Classes[2].Target`.
+/// JSON of another form than expected. The text names the path of the key, such as
+/// `Classes[2].Target`, and says what the parser found. It is complete, so there is no source.
 #[derive(Debug)]
 pub struct JsonError {
-    /// Empty if the text as a whole does not fit.
+    /// The path of the key; empty if the text as a whole has another form.
     key: String,
     cause: serde_json::Error,
 }
@@ -55,8 +55,4 @@
     }
 }
 
-impl std::error::Error for JsonError {
-    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
-        Some(&self.cause)
-    }
-}
+impl std::error::Error for JsonError {}
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -45,13 +45,13 @@
 impl Config {
     /// Reads the file that `PROXY_CONFIG` names.
     pub fn from_env() -> Result<Self, ConfigError> {
-        let path = std::env::var_os(FILE_VARIABLE).ok_or(ConfigError::NotSet {
+        let path = std::env::var_os(FILE_VARIABLE).ok_or(ConfigError::VariableNotSet {
             variable: FILE_VARIABLE,
         })?;
         let path = PathBuf::from(path);
         match std::fs::read_to_string(&path) {
             Ok(text) => Config::parse(&text),
-            Err(cause) => Err(ConfigError::Unreadable { path, cause }),
+            Err(source) => Err(ConfigError::Read { path, source }),
         }
     }
 
@@ -96,7 +96,7 @@
 
 fn parse_address(key: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse()
-        .map_err(|cause| ConfigError::InvalidAddress { key, cause })
+        .map_err(|source| ConfigError::InvalidAddress { key, source })
 }
 
 fn parse_seed(text: &str) -> Result<u64, ConfigError> {
@@ -138,7 +138,7 @@
     if limits.sockets < MIN_SOCKETS {
         return Err(ConfigError::TooFewSockets {
             sockets: limits.sockets,
-            least: MIN_SOCKETS,
+            minimum: MIN_SOCKETS,
         });
     }
     let descriptors = limits.sockets.min(open_file_limit());
--- a/crates/node/src/config/error.rs
+++ b/crates/node/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration cannot be used.
+//! Errors of reading and checking the configuration.
 
 use ottertiller_balancer::settings::{JsonError, SettingsError};
 use std::io;
@@ -7,45 +7,42 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// A configuration that cannot be used. The text is one line, as the log takes it.
+/// The reason for which a configuration cannot be used. Each text is one line, as the log takes it.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The environment does not name a file.
-    #[error("bad configuration: {variable} is not set")]
-    NotSet {
-        /// The environment variable.
+    /// The environment does not name a configuration file.
+    #[error("{variable} is not set")]
+    VariableNotSet {
+        /// The environment variable that should name it.
         variable: &'static str,
     },
     /// The file cannot be read.
-    #[error("bad configuration: cannot read {}: {cause}", path.display())]
-    Unreadable {
-        /// The file.
+    #[error("cannot read {}", path.display())]
+    Read {
+        /// The path of the file.
         path: PathBuf,
-        /// Why not.
-        #[source]
-        cause: io::Error,
+        /// The error of the system.
+        source: io::Error,
     },
-    /// The file is not the expected JSON.
-    #[error("bad configuration: {0}")]
-    Malformed(#[from] JsonError),
-    /// The value of a key is no IP address with a port.
-    #[error("bad configuration: {key}: {cause}")]
+    /// The file is not JSON of the expected form.
+    #[error(transparent)]
+    Json(#[from] JsonError),
+    /// The value of a key is not an IP address with a port.
+    #[error("{key}")]
     InvalidAddress {
         /// The key.
         key: &'static str,
-        /// Why not.
-        #[source]
-        cause: AddrParseError,
+        /// The error of the parser.
+        source: AddrParseError,
     },
-    /// `seed` is not a hexadecimal number of 64 bits.
-    #[error("bad configuration: seed: {0}")]
+    /// `seed` is not a hexadecimal number of up to 64 bits.
+    #[error("seed")]
     InvalidSeed(#[from] ParseIntError),
-    /// `settings` does not suit the balancer.
-    #[error("bad configuration: {0}")]
+    /// `settings` cannot be used by the balancer.
+    #[error("bad settings")]
     InvalidSettings(#[from] SettingsError),
-    /// The names under a key of `settings` are empty or repeated, so that one name could mean two
-    /// things.
-    #[error("bad configuration: {key}: a name is empty or stands twice in {names:?}")]
+    /// A name under a key of `settings` is empty or repeated, so that it could mean two things.
+    #[error("{key}: a name is empty or stands twice in {names:?}")]
     InvalidNames {
         /// The key.
         key: &'static str,
@@ -53,12 +50,12 @@
         names: Vec<String>,
     },
     /// `limits.sockets` leaves no connection for clients or endpoints.
-    #[error("bad configuration: limits.sockets: {sockets} sockets are too few: {least} at least")]
+    #[error("limits.sockets: {sockets} sockets are too few: {minimum} at least")]
     TooFewSockets {
-        /// How many are configured.
+        /// The configured number of sockets.
         sockets: usize,
-        /// How many are needed.
-        least: usize,
+        /// The smallest number that can be used.
+        minimum: usize,
     },
 }
 
--- /dev/null
+++ b/crates/node/src/error_chain/tests.rs
@@ -0,0 +1,25 @@
+use super::ErrorChain;
+use crate::config::ConfigError;
+use crate::startup::NodeError;
+use std::io;
+
+#[test]
+fn an_error_chain_shows_each_error_once() {
+    let denied = io::Error::new(io::ErrorKind::PermissionDenied, "denied");
+    let read = ConfigError::Read {
+        path: "node.json".into(),
+        source: denied,
+    };
+    assert_eq!(
+        ErrorChain(&NodeError::Config(read)).to_string(),
+        "bad configuration: cannot read node.json: denied"
+    );
+}
+
+#[test]
+fn an_error_without_source_is_shown_alone() {
+    assert_eq!(
+        ErrorChain(&NodeError::DriverEnded(None)).to_string(),
+        "the driver task ended"
+    );
+}
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -11,6 +11,7 @@
 mod discovery;
 mod downstream;
 mod driver;
+mod error_chain;
 mod limits;
 mod logging;
 mod memory_budget;
@@ -21,6 +22,7 @@
 mod startup;
 mod upstream;
 
+use error_chain::ErrorChain;
 use startup::NodeError;
 use std::process::ExitCode;
 use tokio::task::LocalSet;
@@ -28,7 +30,7 @@
 fn main() -> ExitCode {
     let result = run();
     if let Err(error) = &result {
-        logging::log(error);
+        logging::log(ErrorChain(error));
     }
     logging::flush();
     if result.is_ok() {
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -2,6 +2,7 @@
 //! running node.
 
 use crate::config::Config;
+use crate::error_chain::ErrorChain;
 use crate::logging::log;
 use crate::signals::ReloadSignal;
 use std::net::SocketAddr;
@@ -18,7 +19,10 @@
     while signal.recv().await.is_some() {
         match Config::from_env() {
             Ok(config) => apply(&config, &started_with, &discovery_address),
-            Err(error) => log(format_args!("{error}; keeping the current configuration")),
+            Err(error) => log(format_args!(
+                "bad configuration: {}; keeping the current configuration",
+                ErrorChain(&error)
+            )),
         }
     }
 }
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -26,36 +26,35 @@
 /// The capacity of discovery's inbox.
 const DISCOVERY_INBOX: usize = 16;
 
-/// Why the node could not start, or stopped without being asked to.
+/// The reason for which the node could not start, or stopped without being asked to.
 #[derive(Debug, Error)]
 pub enum NodeError {
     /// The async runtime could not be built.
-    #[error("cannot start: {0}")]
+    #[error("cannot start")]
     Runtime(#[source] io::Error),
     /// The signal handlers could not be installed.
-    #[error("cannot listen for signals: {0}")]
+    #[error("cannot listen for signals")]
     Signals(#[source] io::Error),
     /// The configuration cannot be used.
-    #[error(transparent)]
+    #[error("bad configuration")]
     Config(#[from] ConfigError),
     /// The address for clients cannot be listened on.
-    #[error("cannot listen on {address}: {cause}")]
+    #[error("cannot listen on {address}")]
     Bind {
         /// The configured address.
         address: SocketAddr,
-        /// Why not.
-        #[source]
-        cause: io::Error,
+        /// The error of the system.
+        source: io::Error,
     },
     /// The listener's local address is not known.
-    #[error("cannot listen: {0}")]
+    #[error("cannot listen")]
     LocalAddress(#[source] io::Error),
-    /// The driver's task has ended.
-    #[error("the driver task ended: {0:?}")]
-    DriverEnded(Result<(), JoinError>),
-    /// Discovery's task has ended.
-    #[error("the discovery task ended: {0:?}")]
-    DiscoveryEnded(Result<(), JoinError>),
+    /// The driver's task has ended, or has panicked if there is an error.
+    #[error("the driver task ended")]
+    DriverEnded(#[source] Option<JoinError>),
+    /// Discovery's task has ended, or has panicked if there is an error.
+    #[error("the discovery task ended")]
+    DiscoveryEnded(#[source] Option<JoinError>),
 }
 
 /// Reads the configuration, and runs the node until its graceful shutdown is complete.
@@ -69,7 +68,7 @@
 async fn bind(address: SocketAddr) -> Result<TcpListener, NodeError> {
     TcpListener::bind(address)
         .await
-        .map_err(|cause| NodeError::Bind { address, cause })
+        .map_err(|source| NodeError::Bind { address, source })
 }
 
 /// Builds the parts, connects them, and runs them until the downstream side has drained.
@@ -111,8 +110,8 @@
 
     tokio::select! {
         () = downstream.run(listener, signals.shutdown.recv()) => Ok(()),
-        result = &mut driver => Err(NodeError::DriverEnded(result)),
-        result = &mut discovery => Err(NodeError::DiscoveryEnded(result)),
+        result = &mut driver => Err(NodeError::DriverEnded(result.err())),
+        result = &mut discovery => Err(NodeError::DiscoveryEnded(result.err())),
     }
 }
 
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -61,6 +61,6 @@
         size: usize,
         tail: usize,
     },
-    #[error("{0}")]
+    #[error("bad settings: {0}")]
     Settings(#[from] SettingsError),
 }
