--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,5 +1,4 @@
-//! The node's configuration: read from the file that `PROXY_CONFIG` names, checked, and turned into
-//! the sizes that the parts of the node are built with.
+//! The node's configuration, which is read from the file that `PROXY_CONFIG` names, and checked.
 
 mod capacity;
 mod error;
@@ -8,35 +7,31 @@
 pub use error::ConfigError;
 
 use capacity::{Capacity, MIN_SOCKETS};
-use file::{File, Limits};
+use file::{ConfigFile, ResourceLimits};
 use ottertiller_balancer::settings::{self, SettingsFile};
 use rustix::process::{Resource, getrlimit};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The environment variable that names the file. The other `PROXY_` variables say nothing that the
-/// file does not.
-const FILE_VARIABLE: &str = "PROXY_CONFIG";
+/// The environment variable that names the file. The other `PROXY_` variables repeat what the file
+/// says, and are not read.
+const CONFIG_VARIABLE: &str = "PROXY_CONFIG";
 
-/// A node's configuration, checked.
+/// A node's configuration. Its values have been checked.
 pub struct Config {
     /// The node's name, for the log.
     pub name: String,
-    /// Where clients connect.
-    pub listen: SocketAddr,
-    /// Where discovery is.
-    pub discovery: SocketAddr,
+    /// The address on which the node listens for clients.
+    pub listen_address: SocketAddr,
+    /// The address of the discovery service.
+    pub discovery_address: SocketAddr,
     /// The seed of all random choices.
     pub seed: u64,
-    /// The configured limits, from which the sizes below are derived.
-    limits: Limits,
-    /// The most client connections.
-    pub client_connections: usize,
-    /// The most connections to endpoints.
-    pub endpoint_connections: usize,
-    /// The most bytes of request and response bodies held at once.
-    pub body_bytes: usize,
-    /// The endpoint list as this node last had it: discovery's JSON, perhaps out of date.
+    /// The configured limits, from which `capacity` is derived.
+    limits: ResourceLimits,
+    /// The most that the node holds at once.
+    pub capacity: Capacity,
+    /// The endpoint list as this node last had it, in discovery's format. It may be out of date.
     pub cached_list: Option<String>,
     /// The balancer's settings, and the names that requests and endpoints use.
     pub settings_file: SettingsFile,
@@ -45,8 +40,8 @@
 impl Config {
     /// Reads the file that `PROXY_CONFIG` names.
     pub fn from_env() -> Result<Self, ConfigError> {
-        let path = std::env::var_os(FILE_VARIABLE).ok_or(ConfigError::VariableNotSet {
-            variable: FILE_VARIABLE,
+        let path = std::env::var_os(CONFIG_VARIABLE).ok_or(ConfigError::VariableNotSet {
+            variable: CONFIG_VARIABLE,
         })?;
         let path = PathBuf::from(path);
         match std::fs::read_to_string(&path) {
@@ -57,33 +52,31 @@
 
     /// Parses and checks the text of a configuration file.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
-        let file: File = settings::from_json(text.as_bytes())?;
-        let listen = parse_address("listen", &file.listen)?;
-        let discovery = parse_address("discovery", &file.discovery)?;
+        let file: ConfigFile = settings::from_json(text.as_bytes())?;
+        let listen_address = parse_address("listen", &file.listen_address)?;
+        let discovery_address = parse_address("discovery", &file.discovery_address)?;
         let seed = parse_seed(&file.seed)?;
         let settings_file = parse_settings(file.settings.get())?;
         check_names(&settings_file)?;
         let capacity = capacity(&file.limits)?;
         Ok(Config {
             name: file.name,
-            listen,
-            discovery,
+            listen_address,
+            discovery_address,
             seed,
             limits: file.limits,
-            client_connections: capacity.client_connections,
-            endpoint_connections: capacity.endpoint_connections,
-            body_bytes: capacity.body_bytes,
+            capacity,
             cached_list: file.cached_list.map(|list| list.get().to_owned()),
             settings_file,
         })
     }
 
-    /// The keys whose values differ in a later configuration but cannot change while the node runs.
-    /// The seed is not among them: it is new with each start.
+    /// Returns the keys whose values differ in a later configuration but cannot change while the
+    /// node runs. The seed is not among them, since it is new with each start.
     pub fn changes_that_need_restart(&self, later: &Config) -> Vec<&'static str> {
         let keys = [
             ("name", self.name != later.name),
-            ("listen", self.listen != later.listen),
+            ("listen", self.listen_address != later.listen_address),
             ("limits", self.limits != later.limits),
             ("settings", self.settings_file != later.settings_file),
         ];
@@ -110,8 +103,8 @@
     Ok(SettingsFile::parse(json.as_bytes())?)
 }
 
-/// Names are mapped to positions: two positions would mean the same class, tenant or zone if a name
-/// was repeated.
+/// Checks that the names of classes, tenants and zones are unique and not empty. Names are mapped
+/// to positions, so a repeated name could mean two of them.
 fn check_names(settings: &SettingsFile) -> Result<(), ConfigError> {
     let lists = [
         ("settings.Classes", &settings.class_names),
@@ -134,7 +127,8 @@
     Ok(())
 }
 
-fn capacity(limits: &Limits) -> Result<Capacity, ConfigError> {
+/// Returns the capacity within the configured limits and the system's.
+fn capacity(limits: &ResourceLimits) -> Result<Capacity, ConfigError> {
     if limits.sockets < MIN_SOCKETS {
         return Err(ConfigError::TooFewSockets {
             sockets: limits.sockets,
@@ -145,7 +139,7 @@
     Ok(Capacity::within(descriptors, limits.memory_bytes()))
 }
 
-/// How many files the system lets this process open.
+/// Returns how many files the system lets this process open.
 fn open_file_limit() -> usize {
     match getrlimit(Resource::Nofile).current {
         Some(limit) => usize::try_from(limit).unwrap_or(usize::MAX),
--- a/crates/node/src/config/capacity.rs
+++ b/crates/node/src/config/capacity.rs
@@ -1,20 +1,20 @@
-//! How many connections and body bytes fit into the configured descriptor and memory limits.
+//! How many connections and body bytes fit into the configured limits of descriptors and memory.
 
 use crate::limits::READ_BUFFER_BYTES;
 
 /// Descriptors for all but connections: standard streams, listener, runtime, discovery, failing
 /// connects.
 const RESERVED_SOCKETS: usize = 48;
-/// The fewest sockets to be configured: one client and one endpoint connection beside the reserved
-/// ones.
-pub const MIN_SOCKETS: usize = RESERVED_SOCKETS + MIN_CONNECTIONS;
+/// One connection to a client and one to an endpoint.
 const MIN_CONNECTIONS: usize = 2;
-/// Memory for the program itself, its code, tables and queues: several times what is measured.
+/// The smallest number of sockets that can be configured.
+pub const MIN_SOCKETS: usize = RESERVED_SOCKETS + MIN_CONNECTIONS;
+/// Memory for the program's code, tables and queues: several times what is measured.
 const RESERVED_BYTES: usize = 8 << 20;
-/// The most that a connection takes: hyper's buffers in both directions, the read-ahead, and its
-/// tasks.
+/// The most memory that a connection takes: hyper's buffers in both directions, the read-ahead, and
+/// its tasks.
 const CONNECTION_BYTES: usize = READ_BUFFER_BYTES + 16 * 1024;
-/// The least memory for bodies, whatever the limits say.
+/// The smallest memory for bodies, whatever the limits say.
 const MIN_BODY_BYTES: usize = 1 << 20;
 
 /// The most that the node holds at once.
@@ -29,7 +29,7 @@
 }
 
 impl Capacity {
-    /// The capacity of a process that may open `descriptors` and use `memory_bytes`.
+    /// Returns the capacity of a process that may open `descriptors` and use `memory_bytes`.
     pub fn within(descriptors: usize, memory_bytes: usize) -> Self {
         let available_bytes = memory_bytes.saturating_sub(RESERVED_BYTES);
         let connections = connections(descriptors, available_bytes);
@@ -42,8 +42,8 @@
     }
 }
 
-/// The most connections of both kinds. Whatever clients do, descriptors are left for discovery and
-/// endpoints, and half of the memory for bodies.
+/// Returns the most connections of both kinds. Whatever clients do, this leaves descriptors for
+/// discovery and endpoints, and half of the memory for bodies.
 fn connections(descriptors: usize, available_bytes: usize) -> usize {
     // The system may allow fewer descriptors than `MIN_SOCKETS`: then half of them are reserved.
     let reserved = RESERVED_SOCKETS.min(descriptors / 2);
@@ -52,7 +52,8 @@
     by_descriptors.min(by_memory).max(MIN_CONNECTIONS)
 }
 
-/// Three quarters of what the connections leave; the last quarter is a safety margin.
+/// Returns three quarters of the memory that the connections leave; the last quarter is a safety
+/// margin.
 fn body_bytes(connections: usize, available_bytes: usize) -> usize {
     let without_connections = available_bytes.saturating_sub(connections * CONNECTION_BYTES);
     (without_connections / 4 * 3).max(MIN_BODY_BYTES)
--- a/crates/node/src/discovery/tests.rs
+++ b/crates/node/src/discovery/tests.rs
@@ -135,7 +135,7 @@
         let clock = Clock::start();
         let (messages, mut inbox) = mpsc::channel(64);
         let (commands, discovery_commands) = mpsc::channel(16);
-        let (address_changes, addresses) = watch_channel::channel(config.discovery);
+        let (address_changes, addresses) = watch_channel::channel(config.discovery_address);
         let upstream = Upstream::start(
             clock,
             crate::startup::upstream_options(config),
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -36,13 +36,13 @@
         ));
     }
     let has_moved = discovery_address.send_if_modified(|address| {
-        let differs = *address != config.discovery;
-        *address = config.discovery;
+        let differs = *address != config.discovery_address;
+        *address = config.discovery_address;
         differs
     });
     let change = if has_moved { "changed to" } else { "is still" };
     log(format_args!(
         "configuration reloaded: discovery address {change} {}",
-        config.discovery
+        config.discovery_address
     ));
 }
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -61,7 +61,7 @@
 pub async fn run() -> Result<(), NodeError> {
     let signals = Signals::install().map_err(NodeError::Signals)?;
     let config = Rc::new(Config::from_env()?);
-    let listener = bind(config.listen).await?;
+    let listener = bind(config.listen_address).await?;
     serve(config, listener, signals).await
 }
 
@@ -80,8 +80,8 @@
     let clock = Clock::start();
     let (messages, mut inbox) = mpsc::channel(DRIVER_INBOX);
     let (discovery_commands, discovery_inbox) = mpsc::channel(DISCOVERY_INBOX);
-    let (address_sender, discovery_address) = watch::channel(config.discovery);
-    let budget = Budget::new(config.body_bytes);
+    let (address_sender, discovery_address) = watch::channel(config.discovery_address);
+    let budget = Budget::new(config.capacity.body_bytes);
     let upstream = Upstream::start(clock, upstream_options(&config), budget.clone());
     let discovery = Discovery::new(discovery_options(&config), messages.clone());
     let is_ready = discovery.ready();
@@ -133,7 +133,7 @@
             deadline: class.deadline,
         });
     downstream::DownstreamOptions {
-        max_connections: config.client_connections,
+        max_connections: config.capacity.client_connections,
         classes: classes.collect(),
         tenants: config.settings_file.tenant_names.clone(),
         max_retry_after: config.settings_file.settings.limits.max_retry_after,
@@ -143,7 +143,7 @@
 /// What the upstream side takes from the configuration.
 pub fn upstream_options(config: &Config) -> upstream::UpstreamOptions {
     let pool = upstream::pool::PoolOptions {
-        max_connections: config.endpoint_connections,
+        max_connections: config.capacity.endpoint_connections,
         connect_timeout: config.settings_file.settings.limits.connect_timeout,
         endpoint_idle_timeout: config.settings_file.endpoint_idle_timeout,
         response_cooldown: RESPONSE_COOLDOWN,
@@ -159,7 +159,7 @@
 pub fn discovery_options(config: &Config) -> discovery::DiscoveryOptions {
     let file = &config.settings_file;
     discovery::DiscoveryOptions {
-        address: config.discovery,
+        address: config.discovery_address,
         cached_list: config.cached_list.clone(),
         seed: config.seed,
         poll: file.settings.poll_endpoints,
