--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -5,11 +5,11 @@
 
 /// Unix time as it was at the start, continued by the monotonic clock.
 ///
-/// The wall clock is read once, at the start, and is used for one thing: to put an endpoint's
+/// The wall clock is read once, at the start, and serves one purpose: to put an endpoint's
 /// `since_ms` on the scale of events. All deadlines, windows, waits and ages are differences on
-/// that scale, spans of monotonic time, which a step of the wall clock does not change. A
-/// `since_ms` that was read from a clock stepped against this reading is off by the step: the
-/// balancer believes it only within what the node knows without the wall clock.
+/// that scale, and so spans of monotonic time, which a step of the wall clock does not change. If
+/// an endpoint's wall clock was stepped against this reading, its `since_ms` is off by that step,
+/// so the balancer accepts it only within what the node knows without the wall clock.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started: Instant,
@@ -17,7 +17,7 @@
 }
 
 impl Clock {
-    /// A clock that shows the present Unix time.
+    /// Starts a clock that shows the present Unix time.
     pub fn start() -> Self {
         let unix_time_at_start = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -28,12 +28,12 @@
         }
     }
 
-    /// The time since the Unix epoch.
+    /// Returns the time since the Unix epoch.
     pub fn now(self) -> Duration {
         self.unix_time_at_start + self.started.elapsed()
     }
 
-    /// The runtime's instant at which this clock shows `time`.
+    /// Returns the instant of the runtime at which this clock shows `time`.
     pub fn instant(self, time: Duration) -> Instant {
         self.started + time.saturating_sub(self.unix_time_at_start)
     }
--- a/crates/node/src/driver/tests/host.rs
+++ b/crates/node/src/driver/tests/host.rs
@@ -127,7 +127,7 @@
     pub fn usage(&self) -> (RequestTableUsage, usize) {
         (
             self.driver.requests.usage(),
-            BUDGET - self.peers.budget.free(),
+            BUDGET - self.peers.budget.available(),
         )
     }
 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,5 +1,6 @@
-//! One node: clients downstream, endpoints upstream, discovery for the list of endpoints, and
-//! between them the driver, which owns the balancer.
+//! A load-balancing HTTP node. [`downstream`] serves clients, [`upstream`] sends requests to
+//! endpoints, and [`discovery`] keeps the list of endpoints up to date. Between them, [`driver`]
+//! owns the balancer, which decides.
 //!
 //! Dependencies run one way. [`startup`] builds all parts from the configuration, which only it and
 //! [`reload`] know. [`driver`] starts attempts through [`upstream`]; otherwise [`downstream`],
--- a/crates/node/src/memory_budget.rs
+++ b/crates/node/src/memory_budget.rs
@@ -1,15 +1,19 @@
-//! The memory budget for bodies: a request's or response's body is read only once its bytes have
+//! The memory budget for bodies. The body of a request or response is read only once its bytes have
 //! been leased.
 
 use bytes::Bytes;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// The bytes that may still be leased.
+/// The budget of bytes for bodies. Clones share it.
 #[derive(Clone)]
-pub struct Budget(Arc<AtomicUsize>);
+pub struct Budget {
+    /// The bytes that are not leased. [`Bytes`] may be dropped on any thread, so its owner, a
+    /// [`Lease`], needs an atomic.
+    available: Arc<AtomicUsize>,
+}
 
-/// A part of the budget, returned when it is dropped.
+/// A part of the budget. Its bytes are returned when it is dropped.
 pub struct Lease {
     budget: Budget,
     bytes: usize,
@@ -18,13 +22,15 @@
 impl Budget {
     /// Creates a budget of `bytes`.
     pub fn new(bytes: usize) -> Self {
-        Budget(Arc::new(AtomicUsize::new(bytes)))
+        Budget {
+            available: Arc::new(AtomicUsize::new(bytes)),
+        }
     }
 
-    /// Leases `bytes`; `None` if fewer are left.
+    /// Leases `bytes`; `None` if fewer are available.
     pub fn lease(&self, bytes: usize) -> Option<Lease> {
-        let subtract = |left: usize| left.checked_sub(bytes);
-        self.0
+        let subtract = |available: usize| available.checked_sub(bytes);
+        self.available
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, subtract)
             .ok()?;
         Some(Lease {
@@ -33,15 +39,15 @@
         })
     }
 
-    /// How many bytes may still be leased.
+    /// Returns how many bytes may still be leased.
     #[cfg(test)]
-    pub fn free(&self) -> usize {
-        self.0.load(Ordering::Relaxed)
+    pub fn available(&self) -> usize {
+        self.available.load(Ordering::Relaxed)
     }
 }
 
 impl Lease {
-    /// Ties the lease to the bytes it is for: it ends when the last copy of them is dropped.
+    /// Ties the lease to the bytes it is for. It ends when their last copy is dropped.
     pub fn keep(self, bytes: Bytes) -> Bytes {
         Bytes::from_owner(LeasedBytes {
             bytes,
@@ -52,11 +58,13 @@
 
 impl Drop for Lease {
     fn drop(&mut self) {
-        self.budget.0.fetch_add(self.bytes, Ordering::Relaxed);
+        self.budget
+            .available
+            .fetch_add(self.bytes, Ordering::Relaxed);
     }
 }
 
-/// Bytes together with the lease for them.
+/// Bytes together with their lease.
 struct LeasedBytes {
     bytes: Bytes,
     _lease: Lease,
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -24,7 +24,7 @@
     HealthCheckEnded(CompletedHealthCheck),
     /// The endpoint list has changed, or could not be fetched.
     EndpointList(EndpointListUpdate),
-    /// The node ends: every request in flight gets its final response now.
+    /// The node shuts down: every request that awaits its final response gets it now.
     Shutdown,
 }
 
@@ -43,7 +43,7 @@
 /// The one final response to a request.
 #[derive(Debug)]
 pub enum FinalResponse {
-    /// An endpoint's response body.
+    /// Served by an endpoint, with this response body.
     Served(Bytes),
     /// Rejected; the client may safely retry, after this delay if it is given one.
     Shed(Option<Duration>),
@@ -107,7 +107,7 @@
 
 /// An attempt that has ended.
 pub struct CompletedAttempt {
-    /// Which attempt it was.
+    /// Identifies the attempt.
     pub id: AttemptId,
     /// How it ended.
     pub outcome: Outcome,
@@ -129,27 +129,28 @@
     pub load_report: Option<LoadReport>,
 }
 
-/// An entry of the endpoint list, and where that endpoint listens.
+/// An entry of the endpoint list, with the endpoint's address.
 #[derive(Clone, Debug)]
 pub struct ListedEndpoint {
     /// The entry as the balancer sees it.
     pub entry: EndpointEntry,
-    /// Where the endpoint listens.
+    /// The address on which the endpoint listens.
     pub address: SocketAddr,
 }
 
 /// An update of the endpoint list.
 pub struct EndpointListUpdate {
-    /// Whether the endpoints are the whole list or changes to it.
+    /// Says whether the endpoints are the whole list or changes to it, or that the list could not
+    /// be fetched.
     pub kind: ListKind,
-    /// The endpoints.
+    /// The listed or changed endpoints; none if the list could not be fetched.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
 /// A command from the balancer to discovery.
 pub enum DiscoveryCommand {
-    /// Watch the list for changes.
+    /// Watch the endpoint list for changes.
     Subscribe,
-    /// Stop watching it.
+    /// Stop watching the endpoint list.
     Unsubscribe,
 }
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,5 +1,4 @@
-//! Reloading of the configuration at SIGHUP. The address of discovery is all that can change in a
-//! running node.
+//! Reloads the configuration on SIGHUP. Only the address of discovery can change in a running node.
 
 use crate::config::Config;
 use crate::error_chain::ErrorChain;
@@ -9,16 +8,16 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// Reloads the configuration at each signal, and publishes the address of discovery if that has
-/// changed.
+/// Reloads the configuration on each signal, and publishes the address of discovery if it has
+/// changed. A configuration that cannot be used changes nothing.
 pub async fn reload_on_signal(
     mut signal: ReloadSignal,
-    started_with: Rc<Config>,
+    running_config: Rc<Config>,
     discovery_address: watch::Sender<SocketAddr>,
 ) {
     while signal.recv().await.is_some() {
         match Config::from_env() {
-            Ok(config) => apply(&config, &started_with, &discovery_address),
+            Ok(config) => apply(&config, &running_config, &discovery_address),
             Err(error) => log(format_args!(
                 "bad configuration: {}; keeping the current configuration",
                 ErrorChain(&error)
@@ -27,10 +26,10 @@
     }
 }
 
-fn apply(config: &Config, started_with: &Config, discovery_address: &watch::Sender<SocketAddr>) {
-    let ignored = started_with.changes_that_need_restart(config);
-    if !ignored.is_empty() {
-        let keys = ignored.join(", ");
+/// Publishes the address of discovery, and logs which other changes have no effect.
+fn apply(config: &Config, running_config: &Config, discovery_address: &watch::Sender<SocketAddr>) {
+    let keys = running_config.changes_that_need_restart(config).join(", ");
+    if !keys.is_empty() {
         log(format_args!(
             "configuration changes that need a restart: {keys}"
         ));
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -4,17 +4,17 @@
 use std::io;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// The handlers of all signals. A signal that comes before its handler is installed ends the
-/// process, so these are made before anything else.
+/// The receivers of all signals. A signal that arrives before its handler is installed ends the
+/// process, so they are created before anything else.
 pub struct Signals {
-    /// Asks for a reload of the configuration.
+    /// Requests a reload of the configuration.
     pub reload: ReloadSignal,
-    /// Asks for a graceful shutdown.
+    /// Requests a graceful shutdown.
     pub shutdown: ShutdownSignal,
 }
 
 impl Signals {
-    /// Installs the handlers.
+    /// Installs the handlers of all signals.
     pub fn install() -> io::Result<Self> {
         Ok(Signals {
             reload: ReloadSignal {
@@ -28,19 +28,19 @@
     }
 }
 
-/// SIGHUP.
+/// Receives SIGHUP.
 pub struct ReloadSignal {
     hangup: Signal,
 }
 
 impl ReloadSignal {
-    /// Waits for the next signal; `None` if there can be none any more.
+    /// Waits for the next signal. Returns `None` if no further signal can arrive.
     pub async fn recv(&mut self) -> Option<()> {
         self.hangup.recv().await
     }
 }
 
-/// SIGTERM or SIGINT.
+/// Receives SIGTERM and SIGINT.
 pub struct ShutdownSignal {
     terminate: Signal,
     interrupt: Signal,
