--- a/crates/node/src/config/capacity/tests.rs
+++ b/crates/node/src/config/capacity/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn descriptors_limit_the_connections_and_bodies_get_most_of_the_memory_left() {
+fn connections_are_limited_by_descriptors_and_bodies_by_memory() {
     assert_eq!(
         Capacity::within(1024, 192 * MIB),
         capacity(488, 488, 126_713_856)
@@ -19,13 +19,13 @@
 }
 
 #[test]
-fn memory_limits_the_connections_and_leaves_the_least_for_bodies() {
+fn little_memory_limits_connections_and_leaves_bodies_a_minimum() {
     assert_eq!(Capacity::within(1024, 9 * MIB), capacity(10, 11, MIB));
     assert_eq!(Capacity::within(1024, 0), capacity(1, 1, MIB));
 }
 
 #[test]
-fn a_system_that_allows_few_descriptors_has_half_of_them_reserved() {
+fn half_of_few_available_descriptors_are_reserved() {
     assert_eq!(Capacity::within(50, 192 * MIB).client_connections, 12);
     assert_eq!(Capacity::within(50, 192 * MIB).endpoint_connections, 13);
 }
--- a/crates/node/src/config/error/tests.rs
+++ b/crates/node/src/config/error/tests.rs
@@ -5,7 +5,8 @@
 const GOOD: &str = r#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"7f","limits":{"sockets":1024},
     "settings":{"Classes":[{"Name":"read","Target":200,"GiveUp":400,"Idempotency":"free"}]}}"#;
 
-/// Parses the good configuration with `from` replaced by `to`; returns the error as it is logged.
+/// Parses the good configuration with `from` replaced by `to`, and returns the error as it is
+/// logged.
 fn error(from: &str, to: &str) -> String {
     assert!(GOOD.contains(from), "{from}");
     let error = Config::parse(&GOOD.replace(from, to))
--- a/crates/node/src/driver/tests.rs
+++ b/crates/node/src/driver/tests.rs
@@ -1,5 +1,5 @@
-//! Nothing that belongs to a request outlives it, whatever event finished it. Time is virtual: it
-//! moves on only when every task waits.
+//! Nothing that belongs to a request outlives it, whichever event finished it. Time is virtual: it
+//! advances only when every task waits.
 
 mod host;
 mod scripted_endpoint;
@@ -19,8 +19,9 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-fn is_shed(answer: &FinalResponse) -> bool {
-    matches!(answer, FinalResponse::Shed(Some(after)) if *after == Duration::from_millis(500))
+/// Returns whether the request was shed with the configured delay.
+fn is_shed(response: &FinalResponse) -> bool {
+    matches!(response, FinalResponse::Shed(Some(after)) if *after == Duration::from_millis(500))
 }
 
 #[test]
@@ -32,42 +33,42 @@
         let before = host.usage();
         let (_, pending) = host.request_and_advance(SUBMIT, "ok", TARGET / 2).await;
         assert_eq!(
-            host.usage().0.requests,
+            host.usage().requests,
             1,
-            "it waits for a server to be listed"
+            "it is queued until an endpoint is listed"
         );
-        assert_eq!(host.usage().1, BODY);
-        let answer = host.run(async |_| pending.await.expect("an answer")).await;
-        assert!(is_shed(&answer), "{answer:?}");
+        assert_eq!(host.usage().leased_bytes, BODY);
+        let response = host.run(async |_| pending.await.expect("a response")).await;
+        assert!(is_shed(&response), "{response:?}");
         assert_eq!(host.usage(), before);
     });
 }
 
 #[test]
-fn a_request_shed_on_the_result_of_a_health_check_leaves_nothing() {
+fn a_request_shed_after_a_health_check_leaves_nothing() {
     in_virtual_time(async {
         let mut host = Host::start(&config("pull", 0.0));
         let crowded = scripted_endpoint::start(1, "inflight=50,queue=40").await;
         host.run(async |peers| peers.list(ListKind::Snapshot, vec![crowded]).await)
             .await;
         let before = host.usage();
-        let mut refused = 0;
+        let mut shed = 0;
         for _ in 0..20 {
-            let answer = host
+            let response = host
                 .run(async |peers| {
-                    let (_, answer) = peers.request(SUBMIT, "ok", DEADLINE).await;
-                    answer.await.expect("an answer")
+                    let (_, response) = peers.request(SUBMIT, "ok", DEADLINE).await;
+                    response.await.expect("a response")
                 })
                 .await;
-            refused += usize::from(is_shed(&answer));
-            drop(answer);
+            shed += usize::from(is_shed(&response));
+            drop(response);
             // A served request may have a cancelled attempt in flight.
             host.run(async |_| sleep(SETTLED).await).await;
             assert_eq!(host.usage(), before);
         }
         assert!(
-            refused > 10,
-            "a server that reports so much is not sent to: {refused} refused"
+            shed > 10,
+            "an endpoint that reports so much load is not sent to: {shed} shed"
         );
     });
 }
@@ -76,9 +77,9 @@
 fn a_request_whose_only_endpoint_is_removed_leaves_nothing() {
     in_virtual_time(async {
         let mut host = Host::start(&config("pull", 0.0));
-        // Nothing accepts there, so a health check takes its time.
-        let lost = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let endpoint = listed(1, lost.local_addr().expect("its address"));
+        // Nothing accepts connections there, so a health check ends only at its timeout.
+        let lost = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+        let endpoint = listed(1, lost.local_addr().expect("the listener's address"));
         host.run(async |peers| peers.list(ListKind::Snapshot, vec![endpoint.clone()]).await)
             .await;
         let before = host.usage();
@@ -92,61 +93,66 @@
                 request
             })
             .await;
-        assert_eq!(host.usage().0.requests, 1, "it is held");
-        let answer = host.run(async |_| pending.await.expect("an answer")).await;
-        assert!(is_shed(&answer), "{answer:?}");
+        assert_eq!(host.usage().requests, 1, "it is queued");
+        let response = host.run(async |_| pending.await.expect("a response")).await;
+        assert!(is_shed(&response), "{response:?}");
         host.run(async |_| sleep(SETTLED).await).await;
         assert_eq!(host.usage(), before);
     });
 }
 
-/// The balancer may answer on any event: the table must not depend on which.
+/// The balancer may shed or fail a request on any event, and the table must not depend on which.
 #[test]
-fn a_request_answered_by_an_update_of_the_endpoint_list_leaves_nothing() {
+fn a_request_ended_by_an_endpoint_list_update_leaves_nothing() {
     in_virtual_time(async {
         let mut host = Host::start(&config("pull", 0.0));
         host.run(async |peers| peers.list(ListKind::Snapshot, vec![]).await)
             .await;
         let before = host.usage();
-        for refuse in [true, false] {
-            let (id, answer) = host
+        for sheds in [true, false] {
+            let (id, response) = host
                 .request_and_advance(SUBMIT, "ok", Duration::from_millis(1))
                 .await;
-            assert_eq!(host.usage().0.requests, 1, "it is held");
+            assert_eq!(host.usage().requests, 1, "it is queued");
             host.driver
                 .on_message(Message::EndpointList(EndpointListUpdate {
                     kind: ListKind::Snapshot,
                     endpoints: vec![],
                 }));
             let retry_after = None;
-            let action = if refuse {
+            let action = if sheds {
                 Action::Shed { id, retry_after }
             } else {
                 Action::Fail { id }
             };
             host.driver.execute(action);
-            assert!(answer.await.is_ok());
+            assert!(response.await.is_ok());
             assert_eq!(host.usage(), before);
         }
     });
 }
 
 #[test]
-fn a_request_unanswered_at_its_deadline_leaves_nothing() {
+fn a_request_without_response_at_its_deadline_leaves_nothing() {
     in_virtual_time(async {
-        // Late responses count, so that the deadline is what ends it.
+        // Late responses count, so that only the deadline ends the request.
         let mut host = Host::start(&config("piggyback", 0.5));
         let silent = scripted_endpoint::start(1, "").await;
         host.run(async |peers| peers.list(ListKind::Snapshot, vec![silent]).await)
             .await;
         let before = host.usage();
         for class in [READ, SUBMIT, CORRECT] {
-            let (_, answer) = host
+            let (_, response) = host
                 .request_and_advance(class, "silence", DEADLINE / 2)
                 .await;
-            assert_eq!(host.usage().0.requests, 1, "it has an attempt out");
-            let answer = host.run(async |_| answer.await.expect("an answer")).await;
-            assert!(!matches!(answer, FinalResponse::Served(_)), "{answer:?}");
+            assert_eq!(host.usage().requests, 1, "it has an attempt in flight");
+            let response = host
+                .run(async |_| response.await.expect("a response"))
+                .await;
+            assert!(
+                !matches!(response, FinalResponse::Served(_)),
+                "{response:?}"
+            );
             host.run(async |_| sleep(SETTLED).await).await;
             assert_eq!(host.usage(), before);
         }
@@ -154,24 +160,24 @@
 }
 
 #[test]
-fn a_body_ends_its_memory_lease_with_the_final_answer_though_an_attempt_is_in_flight() {
+fn a_disconnect_ends_the_body_lease_despite_a_running_attempt() {
     in_virtual_time(async {
         let mut host = Host::start(&config("piggyback", 0.5));
         let silent = scripted_endpoint::start(1, "").await;
         host.run(async |peers| peers.list(ListKind::Snapshot, vec![silent]).await)
             .await;
-        let (id, _answer) = host
+        let (id, _response) = host
             .request_and_advance(CORRECT, "silence", DEADLINE / 2)
             .await;
-        assert_eq!(host.usage().1, BODY);
-        // The table alone, so that the attempt is not cancelled at once.
+        assert_eq!(host.usage().leased_bytes, BODY);
+        // Only the table is told, since the balancer would cancel the attempt at once.
         assert!(host.driver.requests.client_disconnected(id));
-        let (usage, bytes) = host.usage();
-        assert_eq!((usage.requests, bytes), (1, 0));
+        let usage = host.usage();
+        assert_eq!((usage.requests, usage.leased_bytes), (1, 0));
     });
 }
 
-/// Class, script, and how long after its request the client disconnects, if it does.
+/// The class, the endpoint's script, and the time after which the client disconnects, if it does.
 const ENDINGS: [(usize, &str, Option<Duration>); 16] = [
     (READ, "ok", None),
     (SUBMIT, "ok", None),
@@ -227,23 +233,23 @@
         })
         .await;
         let endings = endings.borrow();
-        for ending in ["served", "refused", "failed", "timed out"] {
+        for ending in ["served", "shed", "failed", "timed out"] {
             assert!(
                 endings.get(ending).is_some_and(|count| *count > 100),
                 "{ending}: {endings:?}"
             );
         }
-        assert_eq!(endings.get("never answered"), None);
+        assert_eq!(endings.get("no response"), None);
         let after = host.all_usage();
         assert_eq!(after, before);
     });
 }
 
-/// How often each ending was seen.
+/// How many requests had each ending.
 type Endings = Rc<RefCell<BTreeMap<&'static str, usize>>>;
 
 impl Peers {
-    /// Now and then the list is empty, or names some of the endpoints.
+    /// Changes the endpoint list in some rounds: it is empty, or has some of the endpoints.
     async fn vary_list(&self, round: usize, listed: &[ListedEndpoint]) {
         match round % 400 {
             100 => self.list(ListKind::Snapshot, vec![]).await,
@@ -263,7 +269,8 @@
         const REQUESTS: usize = 50;
         let mut disconnecting = Vec::new();
         for number in 0..REQUESTS {
-            // Mostly ordinary ones, or every endpoint would be ejected throughout.
+            // Most requests are ordinary, since every endpoint would be ejected throughout
+            // otherwise.
             let kind = if number % 5 == 0 {
                 (round + number / 5) % ENDINGS.len()
             } else {
@@ -276,27 +283,28 @@
             } else {
                 DEADLINE
             };
-            let (id, answer) = self.request(class, script, remaining).await;
+            let (id, response) = self.request(class, script, remaining).await;
             match disconnects {
-                Some(after) => disconnecting.push((id, after, answer)),
-                None => drop(spawn_local(count(answer, endings.clone()))),
+                Some(after) => disconnecting.push((id, after, response)),
+                None => drop(spawn_local(count_ending(response, endings.clone()))),
             }
         }
-        for (id, after, answer) in disconnecting {
+        for (id, after, response) in disconnecting {
             sleep(after).await;
-            drop(answer);
+            drop(response);
             self.disconnect(id).await;
         }
     }
 }
 
-async fn count(answer: oneshot::Receiver<FinalResponse>, endings: Endings) {
-    let ending = match answer.await {
+/// Waits for the final response, and counts the request's ending.
+async fn count_ending(response: oneshot::Receiver<FinalResponse>, endings: Endings) {
+    let ending = match response.await {
         Ok(FinalResponse::Served(_)) => "served",
-        Ok(FinalResponse::Shed(_)) => "refused",
+        Ok(FinalResponse::Shed(_)) => "shed",
         Ok(FinalResponse::Failed) => "failed",
         Ok(FinalResponse::TimedOut) => "timed out",
-        Err(_) => "never answered",
+        Err(_) => "no response",
     };
     *endings.borrow_mut().entry(ending).or_default() += 1;
 }
--- a/crates/node/src/driver/tests/host.rs
+++ b/crates/node/src/driver/tests/host.rs
@@ -21,17 +21,26 @@
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
+/// The memory budget, in bytes.
 const BUDGET: usize = 4 << 20;
+/// The size of a request's body, in bytes.
 pub const BODY: usize = 512;
+/// The latency objective of all classes.
 pub const TARGET: Duration = Duration::from_millis(200);
+/// The deadline of all classes.
 pub const DEADLINE: Duration = Duration::from_millis(400);
-/// Longer than any deadline, timeout and rest of a connection.
+/// Longer than any deadline, timeout and cooldown of a connection.
 pub const SETTLED: Duration = Duration::from_secs(5);
 
+/// The class of idempotent requests.
 pub const READ: usize = 0;
+/// The class of keyed requests.
 pub const SUBMIT: usize = 1;
+/// The class of requests that are not idempotent.
 pub const CORRECT: usize = 2;
 
+/// Returns a configuration whose endpoints report their load as `reports` says, in the words of the
+/// settings file.
 pub fn config(reports: &str, late_weight: f64) -> Config {
     let class = |name: &str, idempotency: &str| {
         format!(
@@ -70,7 +79,19 @@
     last_id: Cell<u64>,
 }
 
+/// The number of entries and bytes in use on behalf of requests.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Usage {
+    /// Requests in flight.
+    pub requests: usize,
+    /// Pending timers.
+    pub timers: usize,
+    /// Leased bytes of the memory budget.
+    pub leased_bytes: usize,
+}
+
 impl Host {
+    /// Creates a driver, which runs only during [`Host::run`].
     pub fn start(config: &Config) -> Self {
         let clock = Clock::start();
         let (messages, inbox) = mpsc::channel(4096);
@@ -102,7 +123,7 @@
         }
     }
 
-    /// Sends a request, and lets so much time pass.
+    /// Sends a request, and lets `time` pass.
     pub async fn request_and_advance(
         &mut self,
         class: usize,
@@ -117,18 +138,20 @@
         .await
     }
 
-    /// What every table of the node holds: the driver's, the balancer's and the pool's.
-    pub fn all_usage(&self) -> ((RequestTableUsage, usize), TableSizes, pool::Usage) {
+    /// Returns the usage of all tables of the node: the driver's, the balancer's and the pool's.
+    pub fn all_usage(&self) -> (Usage, TableSizes, pool::Usage) {
         let balancer = self.driver.balancer.table_sizes();
         (self.usage(), balancer, self.driver.upstream.pool_usage())
     }
 
-    /// Requests, timers, and the bytes of the memory budget that are in use.
-    pub fn usage(&self) -> (RequestTableUsage, usize) {
-        (
-            self.driver.requests.usage(),
-            BUDGET - self.peers.budget.available(),
-        )
+    /// Returns the usage of the driver's table and of the memory budget.
+    pub fn usage(&self) -> Usage {
+        let RequestTableUsage { requests, timers } = self.driver.requests.usage();
+        Usage {
+            requests,
+            timers,
+            leased_bytes: BUDGET - self.peers.budget.available(),
+        }
     }
 }
 
@@ -156,48 +179,55 @@
         self.last_id.set(self.last_id.get() + 1);
         let id = RequestId(self.last_id.get());
         let now = self.clock.now();
+        let (response_sender, response) = oneshot::channel();
+        let incoming = IncomingRequest {
+            request: NewRequest {
+                id,
+                class,
+                remaining,
+                ..NewRequest::default()
+            },
+            received_at: now,
+            upstream_request: self.upstream_request(id, class, script, now + remaining),
+            response_sender,
+        };
+        self.messages
+            .send(Message::Request(Box::new(incoming)))
+            .await
+            .expect("the node runs");
+        (id, response)
+    }
+
+    fn upstream_request(
+        &self,
+        id: RequestId,
+        class: usize,
+        script: &str,
+        deadline: Duration,
+    ) -> UpstreamRequest {
+        let is_keyed = class == SUBMIT;
         let (method, name) = [
             (Method::GET, "read"),
             (Method::POST, "submit"),
             (Method::POST, "correct"),
         ][class]
             .clone();
-        let path = format!("/{name}/{script}")
-            .parse::<PathAndQuery>()
-            .expect("a path");
+        let path = format!("/{name}/{script}");
         let body = if class == READ {
             Bytes::new()
         } else {
             self.body()
         };
-        let upstream_request = UpstreamRequest {
+        UpstreamRequest {
             method,
-            path,
+            path: path.parse::<PathAndQuery>().expect("a path"),
             call_id: HeaderValue::from(id.0),
-            idempotency_key: (class == SUBMIT).then(|| HeaderValue::from(id.0)),
+            idempotency_key: is_keyed.then(|| HeaderValue::from(id.0)),
             body: RefCell::new(Some(body)),
-            deadline: now + remaining,
-            idempotency_window: (class == SUBMIT).then_some(Duration::from_secs(60)),
+            deadline,
+            idempotency_window: is_keyed.then_some(Duration::from_secs(60)),
             first_sent_at: Cell::new(None),
-        };
-        let (response_sender, answer) = oneshot::channel();
-        let request = NewRequest {
-            id,
-            class,
-            remaining,
-            ..NewRequest::default()
-        };
-        let incoming = Box::new(IncomingRequest {
-            request,
-            received_at: now,
-            upstream_request,
-            response_sender,
-        });
-        self.messages
-            .send(Message::Request(incoming))
-            .await
-            .expect("the node runs");
-        (id, answer)
+        }
     }
 
     fn body(&self) -> Bytes {
@@ -205,6 +235,7 @@
         lease.keep(Bytes::from(vec![b'.'; BODY]))
     }
 
+    /// Disconnects the client of a request.
     pub async fn disconnect(&self, id: RequestId) {
         self.messages
             .send(Message::ClientDisconnected(id))
@@ -213,6 +244,7 @@
     }
 }
 
+/// Runs a test on a runtime whose time is virtual.
 pub fn in_virtual_time(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/node/src/driver/tests/scripted_endpoint.rs
+++ b/crates/node/src/driver/tests/scripted_endpoint.rs
@@ -15,8 +15,8 @@
 
 /// Starts an endpoint whose health checks report `load`.
 pub async fn start(id: u64, load: &'static str) -> ListedEndpoint {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("its address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let address = listener.local_addr().expect("the listener's address");
     spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
             spawn_local(serve(stream, load));
@@ -25,7 +25,7 @@
     listed(id, address)
 }
 
-/// The list's entry for an endpoint in service.
+/// Returns the list's entry for an endpoint that is ready.
 pub fn listed(id: u64, address: SocketAddr) -> ListedEndpoint {
     let entry = EndpointEntry {
         id: EndpointId(id),
@@ -35,7 +35,7 @@
     ListedEndpoint { entry, address }
 }
 
-/// Serves a connection until it ends, or is to be reset.
+/// Serves a connection until it ends, or a script resets it.
 async fn serve(stream: TcpStream, load: &'static str) -> Option<()> {
     let (read, mut write) = stream.into_split();
     let mut lines = BufReader::new(read);
@@ -63,7 +63,7 @@
     }
 }
 
-/// Reads a whole request; returns the last segment of its path.
+/// Reads a whole request, and returns the last segment of its path.
 async fn read_request(lines: &mut BufReader<OwnedReadHalf>) -> Option<String> {
     let request_line = read_line(lines).await?;
     let mut body_length = 0;
