--- a/crates/node/src/driver/request_table/attempt.rs
+++ b/crates/node/src/driver/request_table/attempt.rs
@@ -86,3 +86,6 @@
         })
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/node/src/driver/timer_queue.rs
+++ b/crates/node/src/driver/timer_queue.rs
@@ -81,3 +81,6 @@
         self.timers.len()
     }
 }
+
+#[cfg(test)]
+mod tests;
