--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -122,8 +122,8 @@
             response_sender,
         } = incoming;
         let id = request.id;
-        let queued = self.clock.now().saturating_sub(received_at);
-        request.remaining = request.remaining.saturating_sub(queued);
+        let inbox_delay = self.clock.now().saturating_sub(received_at);
+        request.remaining = request.remaining.saturating_sub(inbox_delay);
         // A tick early, so that the response reaches the client before it stops waiting.
         let respond_by = upstream_request.deadline.saturating_sub(self.tick);
         self.requests.insert(id, upstream_request, response_sender);
@@ -145,10 +145,12 @@
         };
         // The first response that was served is the final response; a later one only informs the
         // balancer.
-        let responds_now = completed.response_body.is_some_and(|body| {
-            self.requests
-                .respond(id.request, FinalResponse::Served(body))
-        });
+        let responds_now = match completed.response_body {
+            Some(body) => self
+                .requests
+                .respond(id.request, FinalResponse::Served(body)),
+            None => false,
+        };
         self.handle_event(Event::AttemptEnded(AttemptEnd {
             id: id.request,
             attempt: id.number,
