--- /dev/null
+++ b/crates/balancer-simulation/src/lib.rs
@@ -0,0 +1,6 @@
+//! Simulations in virtual time for the tests of the balancer: one node with everything around it,
+//! and fleets of nodes before the same endpoints.
+
+pub mod fixtures;
+pub mod fleet;
+pub mod node;
--- a/crates/balancer/tests/action_digest.rs
+++ b/crates/balancer/tests/action_digest.rs
@@ -2,11 +2,11 @@
 //! as it is leaves every digest as it is. A change of behaviour changes some, and its commit says
 //! why.
 
-mod simulation;
-
 use ottertiller_balancer::*;
-use simulation::fixtures::{health_check_settings, ms, response_report_settings, settings};
-use simulation::fleet::{FleetConfig, FleetSimulation};
+use ottertiller_balancer_simulation::fixtures::{
+    health_check_settings, ms, response_report_settings, settings,
+};
+use ottertiller_balancer_simulation::fleet::{FleetConfig, FleetSimulation};
 
 const SEEDS: [u64; 2] = [1, 2];
 
--- a/crates/balancer/tests/decisions/admission.rs
+++ b/crates/balancer/tests/decisions/admission.rs
@@ -1,9 +1,9 @@
 //! Admission: what is shed when there is more to do than the endpoints can.
 
-use crate::simulation::fixtures::*;
-use crate::simulation::node::NodeSimulation;
 use crate::support::*;
 use ottertiller_balancer::*;
+use ottertiller_balancer_simulation::fixtures::*;
+use ottertiller_balancer_simulation::node::NodeSimulation;
 
 #[test]
 fn a_tenant_beyond_its_quota_is_shed_first() {
--- a/crates/balancer/tests/decisions/client_retry.rs
+++ b/crates/balancer/tests/decisions/client_retry.rs
@@ -1,9 +1,9 @@
 //! Retries by clients.
 
-use crate::simulation::fixtures::*;
-use crate::simulation::node::NodeSimulation;
 use crate::support::*;
 use ottertiller_balancer::*;
+use ottertiller_balancer_simulation::fixtures::*;
+use ottertiller_balancer_simulation::node::NodeSimulation;
 
 #[test]
 fn a_client_retry_past_its_latency_objective_is_shed_unsent() {
--- a/crates/balancer/tests/decisions/deadline.rs
+++ b/crates/balancer/tests/decisions/deadline.rs
@@ -1,8 +1,8 @@
 //! Requests that cannot be served in time, and requests that wait for an endpoint.
 
-use crate::simulation::fixtures::*;
-use crate::simulation::node::NodeSimulation;
 use ottertiller_balancer::*;
+use ottertiller_balancer_simulation::fixtures::*;
+use ottertiller_balancer_simulation::node::NodeSimulation;
 
 #[test]
 fn a_request_that_cannot_be_in_time_fails_at_its_latency_objective() {
--- a/crates/balancer/tests/decisions/endpoint_list.rs
+++ b/crates/balancer/tests/decisions/endpoint_list.rs
@@ -1,9 +1,9 @@
 //! The endpoint list: snapshots, deltas, and when it is polled.
 
-use crate::simulation::fixtures::*;
-use crate::simulation::node::NodeSimulation;
 use crate::support::*;
 use ottertiller_balancer::*;
+use ottertiller_balancer_simulation::fixtures::*;
+use ottertiller_balancer_simulation::node::NodeSimulation;
 
 #[test]
 fn a_snapshot_removes_what_it_omits_and_endpoints_may_return() {
--- a/crates/balancer/tests/decisions/health_checks.rs
+++ b/crates/balancer/tests/decisions/health_checks.rs
@@ -1,9 +1,9 @@
 //! Health checks: which requests get them, and what follows from their results.
 
-use crate::simulation::fixtures::*;
-use crate::simulation::node::NodeSimulation;
 use crate::support::*;
 use ottertiller_balancer::*;
+use ottertiller_balancer_simulation::fixtures::*;
+use ottertiller_balancer_simulation::node::NodeSimulation;
 use std::collections::BTreeMap;
 
 #[test]
--- a/crates/balancer/tests/decisions/hedging.rs
+++ b/crates/balancer/tests/decisions/hedging.rs
@@ -1,9 +1,9 @@
 //! Hedged requests: what follows an attempt without a response.
 
-use crate::simulation::fixtures::*;
-use crate::simulation::node::NodeSimulation;
 use crate::support::*;
 use ottertiller_balancer::*;
+use ottertiller_balancer_simulation::fixtures::*;
+use ottertiller_balancer_simulation::node::NodeSimulation;
 
 #[test]
 fn an_attempt_without_a_response_is_followed_by_another_as_far_as_its_class_allows() {
--- a/crates/balancer/tests/decisions/idempotency.rs
+++ b/crates/balancer/tests/decisions/idempotency.rs
@@ -1,9 +1,9 @@
 //! What may be retried or shed once it may have run.
 
-use crate::simulation::fixtures::*;
-use crate::simulation::node::NodeSimulation;
 use crate::support::*;
 use ottertiller_balancer::*;
+use ottertiller_balancer_simulation::fixtures::*;
+use ottertiller_balancer_simulation::node::NodeSimulation;
 
 #[test]
 fn a_request_that_is_not_idempotent_is_retried_only_if_it_never_ran() {
--- a/crates/balancer/tests/decisions/late_attempts.rs
+++ b/crates/balancer/tests/decisions/late_attempts.rs
@@ -1,9 +1,9 @@
 //! Load shedding after late attempts.
 
-use crate::simulation::fixtures::*;
-use crate::simulation::node::NodeSimulation;
 use crate::support::*;
 use ottertiller_balancer::*;
+use ottertiller_balancer_simulation::fixtures::*;
+use ottertiller_balancer_simulation::node::NodeSimulation;
 
 /// Plays requests one after another, each with what its attempts meet; counts those that were shed.
 fn count_shed(
--- a/crates/balancer/tests/decisions/late_events.rs
+++ b/crates/balancer/tests/decisions/late_events.rs
@@ -1,9 +1,9 @@
 //! Events that arrive after what they concern has ended.
 
-use crate::simulation::fixtures::*;
-use crate::simulation::node::NodeSimulation;
 use crate::support::*;
 use ottertiller_balancer::*;
+use ottertiller_balancer_simulation::fixtures::*;
+use ottertiller_balancer_simulation::node::NodeSimulation;
 
 #[test]
 fn late_events_have_no_effect() {
--- a/crates/balancer/tests/decisions/main.rs
+++ b/crates/balancer/tests/decisions/main.rs
@@ -17,6 +17,3 @@
 mod subset;
 mod support;
 mod unusual_settings;
-
-#[path = "../simulation/mod.rs"]
-mod simulation;
--- a/crates/balancer/tests/decisions/outlier.rs
+++ b/crates/balancer/tests/decisions/outlier.rs
@@ -1,9 +1,9 @@
 //! Outlier ejection: failing endpoints are left out, tried again, and never all ejected.
 
-use crate::simulation::fixtures::*;
-use crate::simulation::node::NodeSimulation;
 use crate::support::*;
 use ottertiller_balancer::*;
+use ottertiller_balancer_simulation::fixtures::*;
+use ottertiller_balancer_simulation::node::NodeSimulation;
 use std::collections::{BTreeMap, BTreeSet};
 
 #[test]
--- a/crates/balancer/tests/decisions/retry.rs
+++ b/crates/balancer/tests/decisions/retry.rs
@@ -1,9 +1,9 @@
 //! Retries: where they go, and their budget.
 
-use crate::simulation::fixtures::*;
-use crate::simulation::node::NodeSimulation;
 use crate::support::*;
 use ottertiller_balancer::*;
+use ottertiller_balancer_simulation::fixtures::*;
+use ottertiller_balancer_simulation::node::NodeSimulation;
 
 #[test]
 fn an_idempotent_request_is_retried_at_another_endpoint() {
--- a/crates/balancer/tests/decisions/slow_start.rs
+++ b/crates/balancer/tests/decisions/slow_start.rs
@@ -1,9 +1,9 @@
 //! Slow start: endpoints that have just started.
 
-use crate::simulation::fixtures::*;
-use crate::simulation::node::NodeSimulation;
 use crate::support::*;
 use ottertiller_balancer::*;
+use ottertiller_balancer_simulation::fixtures::*;
+use ottertiller_balancer_simulation::node::NodeSimulation;
 use std::time::Duration;
 
 /// Settings whose slow start lasts ten seconds, for nodes that send 33 requests a second.
--- a/crates/balancer/tests/decisions/subset.rs
+++ b/crates/balancer/tests/decisions/subset.rs
@@ -1,9 +1,9 @@
 //! Subsetting: how many of many endpoints a node uses.
 
-use crate::simulation::fixtures::*;
-use crate::simulation::node::NodeSimulation;
 use crate::support::*;
 use ottertiller_balancer::*;
+use ottertiller_balancer_simulation::fixtures::*;
+use ottertiller_balancer_simulation::node::NodeSimulation;
 use std::collections::{BTreeMap, BTreeSet};
 
 #[test]
--- a/crates/balancer/tests/decisions/support.rs
+++ b/crates/balancer/tests/decisions/support.rs
@@ -1,9 +1,9 @@
 //! What the tests of decisions share: what is in a list of actions, and requests played one after
 //! another.
 
-use crate::simulation::fixtures::*;
-use crate::simulation::node::NodeSimulation;
 use ottertiller_balancer::*;
+use ottertiller_balancer_simulation::fixtures::*;
+use ottertiller_balancer_simulation::node::NodeSimulation;
 use std::collections::BTreeMap;
 
 pub fn endpoints_attempted(actions: &[Action]) -> Vec<u64> {
--- a/crates/balancer/tests/decisions/unusual_settings.rs
+++ b/crates/balancer/tests/decisions/unusual_settings.rs
@@ -1,8 +1,8 @@
 //! Settings out of the ordinary.
 
-use crate::simulation::fixtures::*;
-use crate::simulation::node::NodeSimulation;
 use ottertiller_balancer::*;
+use ottertiller_balancer_simulation::fixtures::*;
+use ottertiller_balancer_simulation::node::NodeSimulation;
 
 #[test]
 fn unusual_settings_lead_to_legal_and_sensible_actions() {
--- a/crates/balancer/tests/faults.rs
+++ b/crates/balancer/tests/faults.rs
@@ -2,11 +2,9 @@
 //! tests check that service goes on, that retries stay within their budget, and that no overload
 //! lasts.
 
-mod simulation;
-
 use ottertiller_balancer::*;
-use simulation::fixtures::*;
-use simulation::node::NodeSimulation;
+use ottertiller_balancer_simulation::fixtures::*;
+use ottertiller_balancer_simulation::node::NodeSimulation;
 
 /// What came of a stretch of requests.
 #[derive(Debug, Default)]
--- a/crates/balancer/tests/fleet_slow_start.rs
+++ b/crates/balancer/tests/fleet_slow_start.rs
@@ -1,10 +1,8 @@
 //! Slow start for a whole fleet: what all nodes together send to endpoints that have just started.
 
-mod simulation;
-
 use ottertiller_balancer::*;
-use simulation::fixtures::{class, ms};
-use simulation::fleet::{FleetConfig, FleetSimulation};
+use ottertiller_balancer_simulation::fixtures::{class, ms};
+use ottertiller_balancer_simulation::fleet::{FleetConfig, FleetSimulation};
 
 fn settings(overload_factor: f64) -> Settings {
     let mut settings = Settings {
--- a/crates/balancer/tests/memory.rs
+++ b/crates/balancer/tests/memory.rs
@@ -1,10 +1,8 @@
 //! Nothing grows with requests that have ended or endpoints that have left. Alone in its process,
 //! so that the process's memory is the balancer's.
 
-mod simulation;
-
 use ottertiller_balancer::*;
-use simulation::fixtures::{entry, health_check_settings, ms};
+use ottertiller_balancer_simulation::fixtures::{entry, health_check_settings, ms};
 use std::time::Duration;
 
 /// Resident memory in KiB, as Linux tells it.
--- a/crates/balancer/tests/properties.rs
+++ b/crates/balancer/tests/properties.rs
@@ -1,13 +1,11 @@
 //! Random legal histories: the rules that a node must keep hold in each, and the same history gives
 //! the same actions.
 
-mod simulation;
-
 use ottertiller_balancer::*;
+use ottertiller_balancer_simulation::fixtures::*;
+use ottertiller_balancer_simulation::node::NodeSimulation;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
-use simulation::fixtures::*;
-use simulation::node::NodeSimulation;
 use std::collections::BTreeMap;
 use std::ops::Range;
 use std::time::Duration;
