--- a/crates/balancer-simulation/src/fixtures.rs
+++ b/crates/balancer-simulation/src/fixtures.rs
@@ -1,6 +1,9 @@
 //! Settings and endpoints that the tests have in common.
 
-use ottertiller_balancer::*;
+use ottertiller_balancer::{
+    EndpointEntry, EndpointId, EndpointState, Idempotency, LoadReport, LoadReportSource,
+    RequestClass, Scope, Settings,
+};
 use std::time::Duration;
 
 /// A time in milliseconds.
--- a/crates/balancer-simulation/src/fleet/faults.rs
+++ b/crates/balancer-simulation/src/fleet/faults.rs
@@ -3,7 +3,7 @@
 
 use super::FleetSimulation;
 use super::schedule::Due;
-use ottertiller_balancer::*;
+use ottertiller_balancer::{EndpointId, Event, HealthCheckEnd, NewRequest, Outcome, RequestId};
 use rand_pcg::rand_core::RngCore;
 use std::time::Duration;
 
--- a/crates/balancer-simulation/src/fleet/mod.rs
+++ b/crates/balancer-simulation/src/fleet/mod.rs
@@ -9,7 +9,10 @@
 use super::fixtures::entry;
 use action_digest::ActionDigest;
 use endpoint::SimulatedEndpoint;
-use ottertiller_balancer::*;
+use ottertiller_balancer::{
+    Action, AttemptEnd, Balancer, EndpointEntry, EndpointId, EndpointState, Event, ListKind,
+    LoadReport, LoadReportSource, NewRequest, Outcome, RequestId, Settings,
+};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use schedule::{Due, Schedule, Scheduled};
--- a/crates/balancer-simulation/src/node/invariants.rs
+++ b/crates/balancer-simulation/src/node/invariants.rs
@@ -8,7 +8,7 @@
 //! what they send.
 
 use super::{Attempt, NodeSimulation, RequestState};
-use ottertiller_balancer::*;
+use ottertiller_balancer::{EndpointEntry, EndpointId, Idempotency, Outcome, RequestId, Scope};
 use std::time::Duration;
 
 /// What a client may wait beyond the deadline: the precision of timers.
--- a/crates/balancer-simulation/src/node/mod.rs
+++ b/crates/balancer-simulation/src/node/mod.rs
@@ -4,7 +4,10 @@
 mod invariants;
 
 use super::fixtures::{entry, in_flight_report, ms};
-use ottertiller_balancer::*;
+use ottertiller_balancer::{
+    Action, AttemptEnd, Balancer, EndpointEntry, EndpointId, EndpointState, Event, HealthCheckEnd,
+    ListKind, NewRequest, Outcome, RequestId, Settings, Timer,
+};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/balancer/tests/action_digest.rs
+++ b/crates/balancer/tests/action_digest.rs
@@ -2,7 +2,7 @@
 //! as it is leaves every digest as it is. A change of behaviour changes some, and its commit says
 //! why.
 
-use ottertiller_balancer::*;
+use ottertiller_balancer::{Settings, Tenant};
 use ottertiller_balancer_simulation::fixtures::{
     health_check_settings, ms, response_report_settings, settings,
 };
--- a/crates/balancer/tests/decisions/admission.rs
+++ b/crates/balancer/tests/decisions/admission.rs
@@ -1,8 +1,8 @@
 //! Admission: what is shed when there is more to do than the endpoints can.
 
-use crate::support::*;
-use ottertiller_balancer::*;
-use ottertiller_balancer_simulation::fixtures::*;
+use crate::support::{endpoints_attempted, is_shed, serve_one};
+use ottertiller_balancer::{Outcome, Tenant};
+use ottertiller_balancer_simulation::fixtures::{ms, response_report_settings};
 use ottertiller_balancer_simulation::node::NodeSimulation;
 
 #[test]
--- a/crates/balancer/tests/decisions/client_retry.rs
+++ b/crates/balancer/tests/decisions/client_retry.rs
@@ -1,8 +1,8 @@
 //! Retries by clients.
 
-use crate::support::*;
-use ottertiller_balancer::*;
-use ottertiller_balancer_simulation::fixtures::*;
+use crate::support::{endpoints_attempted, is_shed};
+use ottertiller_balancer::{NewRequest, Outcome, RequestId};
+use ottertiller_balancer_simulation::fixtures::{ms, response_report_settings};
 use ottertiller_balancer_simulation::node::NodeSimulation;
 
 #[test]
--- a/crates/balancer/tests/decisions/deadline.rs
+++ b/crates/balancer/tests/decisions/deadline.rs
@@ -1,7 +1,7 @@
 //! Requests that cannot be served in time, and requests that wait for an endpoint.
 
-use ottertiller_balancer::*;
-use ottertiller_balancer_simulation::fixtures::*;
+use ottertiller_balancer::{Action, EndpointId, ListKind};
+use ottertiller_balancer_simulation::fixtures::{entry, ms, response_report_settings};
 use ottertiller_balancer_simulation::node::NodeSimulation;
 
 #[test]
--- a/crates/balancer/tests/decisions/endpoint_list.rs
+++ b/crates/balancer/tests/decisions/endpoint_list.rs
@@ -1,8 +1,8 @@
 //! The endpoint list: snapshots, deltas, and when it is polled.
 
-use crate::support::*;
-use ottertiller_balancer::*;
-use ottertiller_balancer_simulation::fixtures::*;
+use crate::support::endpoints_attempted;
+use ottertiller_balancer::{Action, EndpointEntry, EndpointState, ListKind, Settings};
+use ottertiller_balancer_simulation::fixtures::{entry, ms, response_report_settings};
 use ottertiller_balancer_simulation::node::NodeSimulation;
 
 #[test]
--- a/crates/balancer/tests/decisions/health_checks.rs
+++ b/crates/balancer/tests/decisions/health_checks.rs
@@ -1,8 +1,8 @@
 //! Health checks: which requests get them, and what follows from their results.
 
-use crate::support::*;
-use ottertiller_balancer::*;
-use ottertiller_balancer_simulation::fixtures::*;
+use crate::support::{endpoints_attempted, health_checks, is_shed};
+use ottertiller_balancer::{EndpointId, Outcome};
+use ottertiller_balancer_simulation::fixtures::{health_check_settings, ms};
 use ottertiller_balancer_simulation::node::NodeSimulation;
 use std::collections::BTreeMap;
 
--- a/crates/balancer/tests/decisions/hedging.rs
+++ b/crates/balancer/tests/decisions/hedging.rs
@@ -1,8 +1,8 @@
 //! Hedged requests: what follows an attempt without a response.
 
-use crate::support::*;
-use ottertiller_balancer::*;
-use ottertiller_balancer_simulation::fixtures::*;
+use crate::support::play_requests;
+use ottertiller_balancer::{Action, Outcome};
+use ottertiller_balancer_simulation::fixtures::{ms, response_report_settings};
 use ottertiller_balancer_simulation::node::NodeSimulation;
 
 #[test]
--- a/crates/balancer/tests/decisions/idempotency.rs
+++ b/crates/balancer/tests/decisions/idempotency.rs
@@ -1,8 +1,8 @@
 //! What may be retried or shed once it may have run.
 
-use crate::support::*;
-use ottertiller_balancer::*;
-use ottertiller_balancer_simulation::fixtures::*;
+use crate::support::{endpoints_attempted, is_failed, is_shed};
+use ottertiller_balancer::Outcome;
+use ottertiller_balancer_simulation::fixtures::{ms, response_report_settings};
 use ottertiller_balancer_simulation::node::NodeSimulation;
 
 #[test]
--- a/crates/balancer/tests/decisions/join_up_to.rs
+++ b/crates/balancer/tests/decisions/join_up_to.rs
@@ -1,8 +1,8 @@
 //! Join-Up-To(m): which endpoint a request is sent to.
 
-use crate::support::*;
-use ottertiller_balancer::*;
-use ottertiller_balancer_simulation::fixtures::*;
+use crate::support::{endpoints_attempted, serve_one};
+use ottertiller_balancer::{ListKind, Outcome};
+use ottertiller_balancer_simulation::fixtures::{entry, ms, response_report_settings};
 use ottertiller_balancer_simulation::node::NodeSimulation;
 use std::collections::BTreeMap;
 
--- a/crates/balancer/tests/decisions/late_attempts.rs
+++ b/crates/balancer/tests/decisions/late_attempts.rs
@@ -1,8 +1,8 @@
 //! Load shedding after late attempts.
 
-use crate::support::*;
-use ottertiller_balancer::*;
-use ottertiller_balancer_simulation::fixtures::*;
+use crate::support::{is_shed, serve_one};
+use ottertiller_balancer::{Action, Outcome, RequestId, Settings};
+use ottertiller_balancer_simulation::fixtures::{ms, response_report_settings};
 use ottertiller_balancer_simulation::node::NodeSimulation;
 
 /// Plays requests one after another, each with what its attempts meet; counts those that were shed.
--- a/crates/balancer/tests/decisions/late_events.rs
+++ b/crates/balancer/tests/decisions/late_events.rs
@@ -1,8 +1,12 @@
 //! Events that arrive after what they concern has ended.
 
-use crate::support::*;
-use ottertiller_balancer::*;
-use ottertiller_balancer_simulation::fixtures::*;
+use crate::support::health_checks;
+use ottertiller_balancer::{
+    Action, AttemptEnd, EndpointId, Event, HealthCheckEnd, ListKind, Outcome, Timer,
+};
+use ottertiller_balancer_simulation::fixtures::{
+    entry, health_check_settings, ms, response_report_settings,
+};
 use ottertiller_balancer_simulation::node::NodeSimulation;
 
 #[test]
--- a/crates/balancer/tests/decisions/outlier.rs
+++ b/crates/balancer/tests/decisions/outlier.rs
@@ -1,8 +1,8 @@
 //! Outlier ejection: failing endpoints are left out, tried again, and never all ejected.
 
-use crate::support::*;
-use ottertiller_balancer::*;
-use ottertiller_balancer_simulation::fixtures::*;
+use crate::support::{endpoints_attempted, play_requests};
+use ottertiller_balancer::Outcome;
+use ottertiller_balancer_simulation::fixtures::{ms, response_report_settings};
 use ottertiller_balancer_simulation::node::NodeSimulation;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/balancer/tests/decisions/retry.rs
+++ b/crates/balancer/tests/decisions/retry.rs
@@ -1,8 +1,8 @@
 //! Retries: where they go, and their budget.
 
-use crate::support::*;
-use ottertiller_balancer::*;
-use ottertiller_balancer_simulation::fixtures::*;
+use crate::support::endpoints_attempted;
+use ottertiller_balancer::Outcome;
+use ottertiller_balancer_simulation::fixtures::{ms, response_report_settings};
 use ottertiller_balancer_simulation::node::NodeSimulation;
 
 #[test]
--- a/crates/balancer/tests/decisions/slow_start.rs
+++ b/crates/balancer/tests/decisions/slow_start.rs
@@ -1,8 +1,8 @@
 //! Slow start: endpoints that have just started.
 
-use crate::support::*;
-use ottertiller_balancer::*;
-use ottertiller_balancer_simulation::fixtures::*;
+use crate::support::{endpoints_attempted, play_requests};
+use ottertiller_balancer::{EndpointEntry, ListKind, Outcome, Rules, Settings};
+use ottertiller_balancer_simulation::fixtures::{entry, ms, response_report_settings};
 use ottertiller_balancer_simulation::node::NodeSimulation;
 use std::time::Duration;
 
--- a/crates/balancer/tests/decisions/subset.rs
+++ b/crates/balancer/tests/decisions/subset.rs
@@ -1,8 +1,8 @@
 //! Subsetting: how many of many endpoints a node uses.
 
-use crate::support::*;
-use ottertiller_balancer::*;
-use ottertiller_balancer_simulation::fixtures::*;
+use crate::support::serve_one;
+use ottertiller_balancer::{ListKind, Settings};
+use ottertiller_balancer_simulation::fixtures::{entry, ms, response_report_settings};
 use ottertiller_balancer_simulation::node::NodeSimulation;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/balancer/tests/decisions/support.rs
+++ b/crates/balancer/tests/decisions/support.rs
@@ -1,8 +1,8 @@
 //! What the tests of decisions share: what is in a list of actions, and requests played one after
 //! another.
 
-use ottertiller_balancer::*;
-use ottertiller_balancer_simulation::fixtures::*;
+use ottertiller_balancer::{Action, Outcome};
+use ottertiller_balancer_simulation::fixtures::ms;
 use ottertiller_balancer_simulation::node::NodeSimulation;
 use std::collections::BTreeMap;
 
--- a/crates/balancer/tests/decisions/unusual_settings.rs
+++ b/crates/balancer/tests/decisions/unusual_settings.rs
@@ -1,7 +1,9 @@
 //! Settings out of the ordinary.
 
-use ottertiller_balancer::*;
-use ottertiller_balancer_simulation::fixtures::*;
+use ottertiller_balancer::{CostWeights, EndpointEntry, ListKind, Outcome, Rules, Settings};
+use ottertiller_balancer_simulation::fixtures::{
+    entry, health_check_settings, ms, response_report_settings, settings,
+};
 use ottertiller_balancer_simulation::node::NodeSimulation;
 
 #[test]
--- a/crates/balancer/tests/faults.rs
+++ b/crates/balancer/tests/faults.rs
@@ -2,8 +2,10 @@
 //! tests check that service goes on, that retries stay within their budget, and that no overload
 //! lasts.
 
-use ottertiller_balancer::*;
-use ottertiller_balancer_simulation::fixtures::*;
+use ottertiller_balancer::{Action, EndpointEntry, ListKind, Outcome, Settings};
+use ottertiller_balancer_simulation::fixtures::{
+    entry, health_check_settings, ms, response_report_settings,
+};
 use ottertiller_balancer_simulation::node::NodeSimulation;
 
 /// What came of a stretch of requests.
--- a/crates/balancer/tests/fleet_slow_start.rs
+++ b/crates/balancer/tests/fleet_slow_start.rs
@@ -1,6 +1,6 @@
 //! Slow start for a whole fleet: what all nodes together send to endpoints that have just started.
 
-use ottertiller_balancer::*;
+use ottertiller_balancer::{Idempotency, Rules, Settings};
 use ottertiller_balancer_simulation::fixtures::{class, ms};
 use ottertiller_balancer_simulation::fleet::{FleetConfig, FleetSimulation};
 
--- a/crates/balancer/tests/memory.rs
+++ b/crates/balancer/tests/memory.rs
@@ -1,7 +1,10 @@
 //! Nothing grows with requests that have ended or endpoints that have left. Alone in its process,
 //! so that the process's memory is the balancer's.
 
-use ottertiller_balancer::*;
+use ottertiller_balancer::{
+    Action, AttemptEnd, Balancer, Event, HealthCheckEnd, ListKind, LoadReport, NewRequest, Outcome,
+    RequestId,
+};
 use ottertiller_balancer_simulation::fixtures::{entry, health_check_settings, ms};
 use std::time::Duration;
 
--- a/crates/balancer/tests/properties.rs
+++ b/crates/balancer/tests/properties.rs
@@ -1,10 +1,16 @@
 //! Random legal histories: the rules that a node must keep hold in each, and the same history gives
 //! the same actions.
 
-use ottertiller_balancer::*;
-use ottertiller_balancer_simulation::fixtures::*;
+use ottertiller_balancer::{
+    Action, EndpointEntry, EndpointId, EndpointState, Event, Limits, ListKind, Outcome, Settings,
+};
+use ottertiller_balancer_simulation::fixtures::{
+    entry, health_check_settings, ms, response_report_settings, settings,
+};
 use ottertiller_balancer_simulation::node::NodeSimulation;
-use proptest::prelude::*;
+use proptest::prelude::{
+    Just, Strategy, TestCaseError, any, prop, prop_assert, prop_assert_eq, prop_oneof, proptest,
+};
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
 use std::collections::BTreeMap;
 use std::ops::Range;
