--- a/crates/balancer/tests/action_digest.rs
+++ b/crates/balancer/tests/action_digest.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn lists_watched_and_loads_reported_by_health_checks() {
+fn digests_unchanged_with_watch_and_health_check_reports() {
     assert_eq!(
         digests(&site(health_check_settings(), true)),
         [
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn lists_polled_and_loads_reported_by_health_checks() {
+fn digests_unchanged_with_polling_and_health_check_reports() {
     let settings = Settings {
         poll_endpoints: true,
         ..site(health_check_settings(), false)
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn lists_watched_and_loads_reported_with_responses() {
+fn digests_unchanged_with_watch_and_response_reports() {
     assert_eq!(
         digests(&site(response_report_settings(), true)),
         [
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn lists_polled_and_no_load_reports() {
+fn digests_unchanged_with_polling_and_no_load_reports() {
     let settings = Settings {
         poll_endpoints: true,
         ..site(settings(), false)
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn one_attempt_at_a_time_that_is_never_cancelled() {
+fn digests_unchanged_without_parallel_or_cancelled_attempts() {
     let mut settings = site(response_report_settings(), false);
     settings.limits.parallel_attempts = false;
     settings.limits.cancel = false;
--- a/crates/balancer/tests/decisions/admission.rs
+++ b/crates/balancer/tests/decisions/admission.rs
@@ -6,7 +6,7 @@
 use ottertiller_balancer_simulation::node::NodeSimulation;
 
 #[test]
-fn a_tenant_beyond_its_quota_is_shed_first() {
+fn tenant_over_quota_is_shed_first() {
     let mut settings = response_report_settings();
     settings.tenants = vec![
         Tenant {
@@ -36,9 +36,10 @@
     );
 }
 
+/// A node without any history must not send dozens of requests to an endpoint before its first
+/// attempt there times out.
 #[test]
-fn a_node_that_starts_during_an_overload_fills_no_endpoint_up() {
-    // Guards against: dozens of requests of one node at an endpoint before its first time-out.
+fn fresh_node_limits_requests_in_flight_during_overload() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
     for _ in 0..300 {
         node.request(1);
@@ -51,9 +52,10 @@
     );
 }
 
+/// Endpoints are already overloaded when nearly all responses arrive just within the latency
+/// objective, so such responses must not open crowding levels.
 #[test]
-fn responses_just_within_the_objective_close_a_crowding_level() {
-    // Guards against: endpoints are overloaded while nearly all responses are still in time.
+fn responses_near_objective_close_crowding_level() {
     let fill = |answer: u64| {
         let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
         let mut most = 0;
@@ -83,9 +85,9 @@
     );
 }
 
+/// In an overload, the fraction of requests that is shed depends on their priority.
 #[test]
-fn in_an_overload_the_higher_priority_is_admitted_first() {
-    // Guards against: the same part of all is shed, whatever its priority.
+fn higher_priority_is_admitted_first_in_overload() {
     let mut settings = response_report_settings();
     settings.classes[1].priority_weight = 10.0;
     let mut node = NodeSimulation::with_endpoints(settings, 4);
@@ -102,10 +104,10 @@
     assert!(sent[1] > 2 * sent[0] && sent[0] > 0, "{sent:?}");
 }
 
+/// Hundreds of nodes may overload the endpoints with one request each, while no endpoint looks
+/// crowded to any of them. A node then sheds, and admits all again after the overload.
 #[test]
-fn when_even_seemingly_idle_endpoints_are_late_a_node_sheds_and_then_recovers() {
-    // Hundreds of nodes may overload the endpoints with one request each: none of them looks
-    // crowded to its node.
+fn late_responses_of_idle_endpoints_cause_shedding_and_recovery() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
     let sent = |node: &mut NodeSimulation, takes: u64| {
         let mut sent = 0;
@@ -126,10 +128,10 @@
     assert_eq!(sent(&mut node, 50), 200);
 }
 
+/// While endpoints are busy, a heavy request that cannot finish in time would take the place of
+/// many light ones. It is sent if most endpoints are idle.
 #[test]
-fn a_request_hopeless_by_its_cost_hint_is_shed_at_once() {
-    // Guards against: with busy endpoints, heavy requests that can't be in time take the place of
-    // many light ones.
+fn request_with_cost_beyond_objective_is_shed_at_once() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
     for _ in 0..60 {
         serve_one(&mut node, 3.0); // none is idle
--- a/crates/balancer/tests/decisions/client_retry.rs
+++ b/crates/balancer/tests/decisions/client_retry.rs
@@ -5,10 +5,10 @@
 use ottertiller_balancer_simulation::fixtures::{ms, response_report_settings};
 use ottertiller_balancer_simulation::node::NodeSimulation;
 
+/// Clients that have timed out send their requests again. Work for responses without value would
+/// sustain an overload.
 #[test]
-fn a_client_retry_past_its_latency_objective_is_shed_unsent() {
-    // Guards against: clients that gave up retry, and work for responses of no value keeps an
-    // overload alive.
+fn client_retry_past_latency_objective_is_shed_unsent() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
     let retry = |node: &mut NodeSimulation, left: u64| {
         let mut new = NewRequest {
@@ -37,11 +37,11 @@
     );
 }
 
+/// Where clients wait before they retry, every retry comes too late. A retry with a shortened
+/// budget looks like a first attempt, so its age is taken from retries that show theirs. Otherwise
+/// each quiet node would serve a few of them without value.
 #[test]
-fn client_retries_that_show_their_age_give_an_age_to_those_that_do_not() {
-    // Guards against: where clients wait before they retry, every retry comes too late, but one
-    // whose time is cut short looks like a first attempt, and each quiet node serves a few of them
-    // for nothing.
+fn client_retry_age_is_inferred_from_other_retries() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 6);
     let (short_class, whole_class) = (0, 4);
     let mut next = 1_000_000;
--- a/crates/balancer/tests/decisions/deadline.rs
+++ b/crates/balancer/tests/decisions/deadline.rs
@@ -5,7 +5,7 @@
 use ottertiller_balancer_simulation::node::NodeSimulation;
 
 #[test]
-fn a_request_that_cannot_be_in_time_fails_at_its_latency_objective() {
+fn unserved_request_fails_at_latency_objective() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 2);
     let (id, _) = node.request(1);
     node.advance(ms(401));
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_request_without_an_endpoint_is_shed_in_time() {
+fn request_without_endpoint_is_shed_at_latency_objective() {
     let mut node = NodeSimulation::new(response_report_settings());
     let (id, _) = node.request(1);
     node.advance(ms(401));
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_request_queued_without_an_endpoint_is_sent_when_one_is_listed() {
+fn queued_request_is_sent_when_endpoint_is_listed() {
     let mut node = NodeSimulation::new(response_report_settings());
     let (id, _) = node.request(1);
     node.advance(ms(50));
--- a/crates/balancer/tests/decisions/endpoint_list.rs
+++ b/crates/balancer/tests/decisions/endpoint_list.rs
@@ -6,7 +6,7 @@
 use ottertiller_balancer_simulation::node::NodeSimulation;
 
 #[test]
-fn a_snapshot_removes_what_it_omits_and_endpoints_may_return() {
+fn snapshot_removes_omitted_endpoints_until_listed_again() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 3);
     node.update_endpoints(ListKind::Snapshot, vec![entry(1)]);
     assert!((0..10).all(|_| {
@@ -27,8 +27,9 @@
     assert_eq!(endpoints_attempted(&node.request(0).1), [2]);
 }
 
+/// With `poll_endpoints`, the list is polled until a snapshot arrives, and not any more after that.
 #[test]
-fn where_the_list_must_be_polled_it_is_polled_and_a_failed_poll_is_retried() {
+fn failed_poll_is_retried_within_poll_interval() {
     let polls = |actions: &[Action]| {
         actions
             .iter()
@@ -62,11 +63,11 @@
     );
 }
 
-/// What a watch misses that ends in place of a change counts as known soon after its end, and
-/// discovery works through the calls of all nodes one after the other: none of that time is there
-/// to be waited out.
+/// The node counts as notified of changes soon after its watch has ended, and discovery handles the
+/// calls of all nodes one after the other. A node therefore must not wait before it reopens its
+/// watch.
 #[test]
-fn a_watch_that_breaks_is_reopened_at_once_however_long_the_poll_interval() {
+fn broken_watch_is_reopened_at_once_with_any_poll_interval() {
     for interval in [5_000, 20_000, 120_000] {
         let mut settings = Settings {
             poll_endpoints: true,
--- a/crates/balancer/tests/decisions/health_checks.rs
+++ b/crates/balancer/tests/decisions/health_checks.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 #[test]
-fn a_request_waits_for_its_health_checks_and_goes_to_the_idle_endpoint() {
+fn request_waits_for_health_checks_and_joins_idle_endpoint() {
     let mut node = NodeSimulation::with_endpoints(health_check_settings(), 4);
     let (id, actions) = node.request(0);
     assert!(
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_health_check_without_a_result_delays_a_request_only_briefly() {
+fn health_check_without_result_delays_request_briefly() {
     let mut node = NodeSimulation::with_endpoints(health_check_settings(), 4);
     let (id, _) = node.request(0);
     node.advance(ms(40));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn expensive_health_checks_are_spent_on_the_heaviest_requests() {
+fn expensive_health_checks_are_kept_for_heavy_requests() {
     let checks_for = |price: f64, idle: &[u64]| {
         let mut settings = health_check_settings();
         (
@@ -70,10 +70,9 @@
     }
 }
 
+/// Endpoints known to be full must not be replaced by unchecked ones, which are just as full.
 #[test]
-fn endpoints_known_to_be_full_are_not_traded_for_unknown_ones() {
-    // Guards against: those known to be full are left out, and requests go unchecked to others that
-    // are as full.
+fn request_is_shed_when_all_checked_endpoints_are_full() {
     let mut node = NodeSimulation::with_endpoints(health_check_settings(), 3);
     for _ in 0..60 {
         node.request(0);
@@ -94,7 +93,7 @@
 }
 
 #[test]
-fn an_endpoint_with_reports_frozen_at_idle_does_not_get_all_requests() {
+fn endpoint_with_frozen_idle_reports_does_not_get_all_requests() {
     let mut node = NodeSimulation::with_endpoints(health_check_settings(), 4);
     let mut used = BTreeMap::new();
     for step in 0..400 {
--- a/crates/balancer/tests/decisions/hedging.rs
+++ b/crates/balancer/tests/decisions/hedging.rs
@@ -5,9 +5,10 @@
 use ottertiller_balancer_simulation::fixtures::{ms, response_report_settings};
 use ottertiller_balancer_simulation::node::NodeSimulation;
 
+/// A response that never arrives must not take the whole time of its request. The idempotency of
+/// the class decides whether a second attempt follows.
 #[test]
-fn an_attempt_without_a_response_is_followed_by_another_as_far_as_its_class_allows() {
-    // Guards against: a response that never comes takes the request's whole time.
+fn silent_attempt_is_followed_by_another_if_class_allows() {
     for (class, further) in [(0, true), (1, false), (4, true)] {
         for parallel in [false, true] {
             let mut settings = response_report_settings();
@@ -30,10 +31,10 @@
     }
 }
 
-/// The endpoint goes on working on a cancelled attempt: where no two attempts may be in flight, to
-/// cancel one is waste until the next would come too late.
+/// The endpoint goes on working on a cancelled attempt. Where no two attempts may be in flight, an
+/// attempt is cancelled only when the next one would otherwise come too late.
 #[test]
-fn where_one_attempt_is_allowed_it_is_cancelled_only_when_the_next_has_just_enough_time() {
+fn single_attempt_is_cancelled_only_in_time_for_next() {
     for class in [0, 4] {
         let mut settings = response_report_settings();
         settings.limits.parallel_attempts = false;
--- a/crates/balancer/tests/decisions/idempotency.rs
+++ b/crates/balancer/tests/decisions/idempotency.rs
@@ -6,7 +6,7 @@
 use ottertiller_balancer_simulation::node::NodeSimulation;
 
 #[test]
-fn a_request_that_is_not_idempotent_is_retried_only_if_it_never_ran() {
+fn non_idempotent_request_is_retried_only_if_it_never_ran() {
     for (outcome, again) in [
         (Outcome::Rejected, true),
         (Outcome::ConnectFailed, true),
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_keyed_request_that_may_have_run_stays_in_its_scope_and_window() {
+fn keyed_request_is_retried_only_in_its_scope_and_window() {
     for class in [2, 3] {
         let mut node = NodeSimulation::with_endpoints(response_report_settings(), 9);
         let (id, actions) = node.request(class);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_request_keyed_at_all_endpoints_may_be_shed_after_it_ran() {
+fn request_keyed_at_all_endpoints_may_be_shed_after_it_ran() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 1);
     let (id, _) = node.request(4);
     assert!(is_shed(&node.end_attempt(id, 0, Outcome::Error, None)));
--- a/crates/balancer/tests/decisions/join_up_to.rs
+++ b/crates/balancer/tests/decisions/join_up_to.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn an_idle_report_brings_an_endpoint_back_and_a_busy_report_does_not() {
+fn only_idle_report_lowers_estimate_below_cap() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 6);
     for _ in 0..300 {
         serve_one(&mut node, 1.0);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn failures_leave_the_estimate_as_it_is() {
+fn failed_attempt_does_not_lower_estimate() {
     let failures = [
         Outcome::Error,
         Outcome::Rejected,
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn with_all_estimates_at_the_cap_the_choice_is_random_among_those_not_crowded() {
+fn choice_is_random_with_all_estimates_at_cap() {
     let mut used = BTreeMap::new();
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
     for _ in 0..200 {
@@ -101,8 +101,9 @@
     );
 }
 
+/// Attempts of the node itself that are still in flight count, whatever a late load report says.
 #[test]
-fn a_late_idle_report_does_not_forget_own_attempts_in_flight() {
+fn late_idle_report_does_not_discount_own_attempts() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 2);
     let (held, actions) = node.request(0);
     let busy = endpoints_attempted(&actions)[0];
@@ -123,9 +124,10 @@
     );
 }
 
+/// The estimate of a new endpoint is zero at all nodes, so that each would send it the next
+/// requests.
 #[test]
-fn a_new_endpoint_is_not_joined_by_all_nodes_at_once() {
-    // Guards against: it stands at zero at all nodes, and each sends it the next requests.
+fn new_endpoint_is_not_joined_by_all_nodes_at_once() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 5);
     for _ in 0..60 {
         serve_one(&mut node, 1.0);
@@ -141,10 +143,10 @@
     );
 }
 
+/// In an overload, the levels of free endpoints are closed by chance while those of crowded ones,
+/// known to serve, stay open. A request must not choose a crowded endpoint for that reason.
 #[test]
-fn a_request_not_admitted_at_a_free_endpoint_does_not_join_a_crowded_one() {
-    // Guards against: in an overload the free endpoints are closed by chance and the crowded ones,
-    // known to serve, stay open.
+fn request_not_admitted_at_free_endpoint_joins_no_busy_one() {
     let mut settings = response_report_settings();
     settings.limits.max_attempts = 1;
     let mut node = NodeSimulation::with_endpoints(settings, 2);
--- a/crates/balancer/tests/decisions/late_attempts.rs
+++ b/crates/balancer/tests/decisions/late_attempts.rs
@@ -16,11 +16,11 @@
         .count()
 }
 
+/// In an overload most first attempts are cancelled before the deadline of their request. A node
+/// that counts only attempts which are late at their deadline would continue to overload the
+/// endpoints.
 #[test]
-fn an_attempt_cancelled_for_the_next_one_counts_as_late() {
-    // Guards against: in an overload most first attempts are cancelled before their request's time
-    // is over. A node that counts only what is late at the very end goes on filling the endpoints
-    // up.
+fn attempt_cancelled_for_next_one_counts_as_late() {
     let mut settings = response_report_settings();
     settings.limits.parallel_attempts = false;
     let shed_of_300 = |cancelled: usize| {
@@ -45,10 +45,10 @@
     assert!(shed_of_300(1) > 15, "{} of 300", shed_of_300(1));
 }
 
+/// Where one class takes a second, late attempts of a quick class within that second count all the
+/// same.
 #[test]
-fn lateness_counts_by_class_however_long_other_classes_take() {
-    // Guards against: where one class takes a second, nothing that a quick class loses within that
-    // is ever counted.
+fn lateness_is_counted_per_class() {
     let mut settings = response_report_settings();
     settings.limits.parallel_attempts = false;
     (
@@ -74,10 +74,10 @@
     assert!(shed > 200, "{shed} of 400");
 }
 
+/// Hundreds of nodes with one or two requests each at an endpoint overload it. A node without
+/// others beside it is limited by its crowding levels already, and sheds little.
 #[test]
-fn late_attempts_at_an_endpoint_that_the_node_crowds_itself_shed_requests_too() {
-    // Guards against: of hundreds of nodes each has one or two requests at an endpoint, which is
-    // overloaded by then.
+fn late_attempts_at_endpoint_crowded_by_node_cause_shedding() {
     let mut settings = response_report_settings();
     settings.limits.parallel_attempts = false;
     let shed = |nodes: u32| {
@@ -110,10 +110,9 @@
     assert!(shed(1) < 10, "{} of 400", shed(1));
 }
 
+/// If all nodes sent all requests of the highest priority, an overload would never end.
 #[test]
-fn in_an_overload_requests_of_high_priority_are_shed_as_well() {
-    // Guards against: what has the highest priority is tried so often, by all nodes, that the
-    // overload never ends.
+fn high_priority_requests_are_also_shed_in_overload() {
     let mut settings = response_report_settings();
     settings.limits.parallel_attempts = false;
     (
--- a/crates/balancer/tests/decisions/late_events.rs
+++ b/crates/balancer/tests/decisions/late_events.rs
@@ -46,9 +46,10 @@
     );
 }
 
-/// Whatever a request waits for when its client disconnects, nothing of it is sent any more.
+/// Covers a request that is queued without an endpoint, one queued for health checks, and one with
+/// an attempt in flight.
 #[test]
-fn nothing_is_sent_for_a_client_that_has_disconnected() {
+fn no_attempt_starts_after_client_disconnect() {
     let count_attempts = |actions: &[Action]| {
         actions
             .iter()
--- a/crates/balancer/tests/decisions/outlier.rs
+++ b/crates/balancer/tests/decisions/outlier.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 #[test]
-fn an_endpoint_that_fails_fast_gets_no_more_requests() {
+fn endpoint_that_fails_fast_is_ejected() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
     let used = play_requests(&mut node, 400, |endpoint| {
         if endpoint == 0 {
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn an_ejected_endpoint_returns_after_a_trial() {
+fn ejected_endpoint_returns_after_probe_request() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
     play_requests(&mut node, 100, |endpoint| {
         if endpoint == 0 {
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn an_endpoint_that_accepts_and_never_responds_is_ejected() {
+fn endpoint_that_never_responds_is_ejected() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
     let mut used = BTreeMap::new();
     for _ in 0..200 {
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_long_pause_of_the_node_itself_ejects_no_endpoint() {
+fn long_pause_of_node_ejects_no_endpoint() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 6);
     play_requests(&mut node, 100, |_| Outcome::Served);
     let ids: Vec<_> = (0..30).map(|_| node.request(1).0).collect();
@@ -100,10 +100,10 @@
     assert_eq!(used.len(), 6, "{used:?}");
 }
 
+/// A quiet node with several unreachable endpoints must not send most of its requests there as
+/// probe requests.
 #[test]
-fn trials_of_ejected_endpoints_take_a_small_part_of_the_requests() {
-    // Guards against: a quiet node with several unreachable endpoints sends most of its requests
-    // there on trial.
+fn probes_of_ejected_endpoints_take_few_requests() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 8);
     let unreachable = |endpoint: u64| {
         if endpoint < 3 {
@@ -120,10 +120,9 @@
     assert!((1..60).contains(&trials), "{used:?}");
 }
 
+/// No minimum number of endpoints stays in use when the node reaches only a few.
 #[test]
-fn unreachable_endpoints_are_ejected_however_many_they_are() {
-    // Guards against: half of the endpoints stay in use whatever happens, though this node reaches
-    // only a few.
+fn unreachable_majority_of_endpoints_is_ejected() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 10);
     let reach = |endpoint: u64| {
         if endpoint < 2 {
--- a/crates/balancer/tests/decisions/retry.rs
+++ b/crates/balancer/tests/decisions/retry.rs
@@ -6,7 +6,7 @@
 use ottertiller_balancer_simulation::node::NodeSimulation;
 
 #[test]
-fn an_idempotent_request_is_retried_at_another_endpoint() {
+fn idempotent_request_is_retried_at_another_endpoint() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 3);
     let (id, actions) = node.request(0);
     let again = node.end_attempt(id, 0, Outcome::Error, None);
--- a/crates/balancer/tests/decisions/slow_start.rs
+++ b/crates/balancer/tests/decisions/slow_start.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn an_endpoint_in_slow_start_gets_no_more_than_its_share() {
+fn slow_start_endpoint_gets_at_most_its_share() {
     // Ten endpoints carry 100 requests a second of three nodes, so each has a capacity of at least
     // 10 a second.
     let mut node = NodeSimulation::with_endpoints(ten_seconds_of_slow_start(), 10);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn endpoints_that_are_all_in_slow_start_still_serve() {
+fn endpoints_all_in_slow_start_still_serve() {
     let mut settings = response_report_settings();
     settings.rules = Rules {
         initial_capacity: 0.3,
@@ -100,7 +100,7 @@
 ];
 
 #[test]
-fn an_endpoint_that_appears_or_restarts_is_in_slow_start_whatever_the_wall_clock_says() {
+fn new_or_restarted_endpoint_slow_starts_despite_clock_step() {
     for listed_start in STEPPED {
         for id in [10, 3] {
             for kind in [ListKind::Delta, ListKind::Snapshot] {
@@ -131,10 +131,10 @@
     }
 }
 
-/// A node that starts after the step: what its cached list has not is new, whatever its wall clock
-/// says.
+/// The node starts after the wall clock was stepped. An endpoint that its cached list does not have
+/// is new, whatever start time is listed.
 #[test]
-fn an_endpoint_that_the_cached_list_lacks_is_in_slow_start_whatever_the_wall_clock_says() {
+fn endpoint_not_in_cached_list_slow_starts_despite_clock_step() {
     for listed_start in STEPPED {
         let mut node = NodeSimulation::new(ten_seconds_of_slow_start());
         node.update_endpoints(ListKind::Cached, (0..10).map(entry).collect());
@@ -156,9 +156,9 @@
     }
 }
 
-/// Where the clocks agree, what an endpoint has grown by before it is listed is not thrown away.
+/// Where the clocks agree, the capacity that an endpoint gained before it was listed counts.
 #[test]
-fn a_listed_start_that_may_be_true_is_believed() {
+fn plausible_listed_start_time_is_used() {
     let mut settings = ten_seconds_of_slow_start();
     settings.rules.initial_capacity = 0.5;
     let mut node = NodeSimulation::with_endpoints(settings, 10);
--- a/crates/balancer/tests/decisions/subset.rs
+++ b/crates/balancer/tests/decisions/subset.rs
@@ -6,9 +6,9 @@
 use ottertiller_balancer_simulation::node::NodeSimulation;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// If each node connected to each endpoint, most connects would fail.
 #[test]
-fn where_connections_have_a_price_a_node_uses_a_small_subset_and_all_endpoints_get_their_share() {
-    // Guards against: each node connects to each endpoint, and most connects fail.
+fn costly_connections_lead_to_small_and_balanced_subsets() {
     let mut settings = response_report_settings();
     (settings.node_count, settings.cost_weights.connections) = (40, 0.1);
     let mut nodes_of = BTreeMap::new();
@@ -30,10 +30,9 @@
     assert!(nodes_of.len() == 20 && fewest == most, "{nodes_of:?}");
 }
 
+/// Among dozens of endpoints, a quiet node would use each too seldom to learn which are slow.
 #[test]
-fn a_quiet_node_uses_only_as_many_endpoints_as_it_can_observe() {
-    // Guards against: among dozens of endpoints a quiet node uses each so seldom that it never
-    // learns which are slow.
+fn quiet_node_uses_only_endpoints_it_can_observe() {
     let used = |pause: u64| {
         let mut node = NodeSimulation::with_endpoints(response_report_settings(), 40);
         let mut used = BTreeSet::new();
@@ -53,10 +52,10 @@
     );
 }
 
+/// Each event looks at each endpoint of the subset several times, which would take all the CPU with
+/// hundreds of endpoints.
 #[test]
-fn the_work_for_a_request_does_not_grow_with_the_fleet() {
-    // Guards against: hundreds of endpoints, each looked at several times for each event, take all
-    // the CPU.
+fn subset_size_does_not_grow_with_endpoint_list() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 500);
     let used: BTreeSet<u64> = (0..2000).map(|_| serve_one(&mut node, 1.0)).collect();
     assert!((32..=64).contains(&used.len()), "{}", used.len());
--- a/crates/balancer/tests/decisions/unusual_settings.rs
+++ b/crates/balancer/tests/decisions/unusual_settings.rs
@@ -7,7 +7,7 @@
 use ottertiller_balancer_simulation::node::NodeSimulation;
 
 #[test]
-fn unusual_settings_lead_to_legal_and_sensible_actions() {
+fn node_serves_and_keeps_invariants_with_unusual_settings() {
     let one_node = Settings {
         node_count: 1,
         ..health_check_settings()
--- a/crates/balancer/tests/faults.rs
+++ b/crates/balancer/tests/faults.rs
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_listed_endpoint_that_is_unreachable_is_ejected() {
+fn unreachable_endpoint_is_ejected() {
     for mut node in nodes_with_endpoints(4) {
         let summary = play(&mut node, 400, |s| {
             Some(if s == 0 {
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn an_unreachable_zone_does_not_stop_the_others() {
+fn unreachable_zone_does_not_stop_other_zones() {
     for mut node in nodes_with_endpoints(6) {
         let ends = |s: u64| {
             Some(if s % 3 == 0 {
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn an_empty_list_stops_all_attempts_until_it_names_an_endpoint_again() {
+fn empty_list_stops_attempts_until_endpoint_is_listed() {
     for mut node in nodes_with_endpoints(4) {
         node.update_endpoints(ListKind::Snapshot, vec![]);
         let summary = play(&mut node, 50, |_| Some(Outcome::Served));
@@ -106,8 +106,9 @@
     }
 }
 
+/// The number of polls does not depend on the number of requests that arrive.
 #[test]
-fn a_list_that_never_comes_is_polled_with_backoff_however_many_requests_arrive() {
+fn missing_list_is_polled_with_backoff_under_load() {
     let mut node = NodeSimulation::new(Settings {
         poll_endpoints: true,
         ..health_check_settings()
@@ -127,8 +128,9 @@
     assert_recovers(&mut node);
 }
 
+/// Endpoints first leave all attempts to time out, and then end them with errors.
 #[test]
-fn an_overload_with_client_retries_does_not_last() {
+fn overload_after_timeouts_and_errors_does_not_last() {
     for mut node in nodes_with_endpoints(4) {
         play(&mut node, 400, |_| None);
         // Errors close no level: only the budget stands in the way of further attempts.
@@ -138,7 +140,7 @@
 }
 
 #[test]
-fn a_crash_among_stalled_endpoints_leaves_no_lasting_overload() {
+fn crash_among_stalled_endpoints_causes_no_lasting_overload() {
     for mut node in nodes_with_endpoints(6) {
         let summary = play(&mut node, 300, |s| match s {
             0 => Some(Outcome::ConnectFailed),
@@ -151,7 +153,7 @@
 }
 
 #[test]
-fn a_deployment_during_a_stale_list_leaves_no_lasting_overload() {
+fn deployment_with_stale_list_causes_no_lasting_overload() {
     for mut node in nodes_with_endpoints(6) {
         // Three have left, and the list does not say so yet.
         let summary = play(&mut node, 200, |s| {
@@ -172,8 +174,10 @@
     }
 }
 
+/// One endpoint responds to nothing. Every tenth request is heavy, and light ones in between are
+/// still served by the other endpoints.
 #[test]
-fn heavy_requests_at_an_overloaded_endpoint_do_not_stop_light_ones() {
+fn heavy_requests_at_stalled_endpoint_do_not_stop_light_ones() {
     for mut node in nodes_with_endpoints(4) {
         let mut served = 0;
         for i in 0..400 {
@@ -198,10 +202,10 @@
     }
 }
 
+/// Crowding levels start closed. A node that has never seen an endpoint below a closed level must
+/// open one, or it would shed all requests indefinitely.
 #[test]
-fn a_node_that_only_sees_busy_endpoints_learns_that_they_serve() {
-    // Crowding levels start closed: while no endpoint was ever seen below a closed level, all was
-    // shed for ever.
+fn node_that_sees_only_busy_endpoints_still_serves() {
     let mut node = NodeSimulation::with_endpoints(health_check_settings(), 4);
     assert_recovers(&mut node);
 }
--- a/crates/balancer/tests/fleet_slow_start.rs
+++ b/crates/balancer/tests/fleet_slow_start.rs
@@ -49,10 +49,10 @@
     fleet
 }
 
-/// N is what the settings allow an endpoint at its present capacity; beyond that, 2 x root of N + 2
-/// are left to chance.
+/// Checks what all nodes together send to an endpoint in slow start. N is what the settings allow
+/// it at its present capacity; 2 x sqrt(N) + 2 requests more are the allowance for chance.
 #[test]
-fn all_nodes_together_stay_within_what_an_endpoint_in_slow_start_is_allowed() {
+fn fleet_stays_within_slow_start_limit_of_each_endpoint() {
     // The less an endpoint can do, the more is left to chance; the more, the less.
     for (nodes, endpoints, capacity) in [
         (1, 10, 20.0),
@@ -73,10 +73,10 @@
     }
 }
 
-/// Guards against: in an overload the other endpoints respond little, and those in slow start,
-/// which alone have room, are sent as little.
+/// In an overload the other endpoints complete few requests in time. Endpoints in slow start, which
+/// alone have capacity left, must not be limited to as few.
 #[test]
-fn endpoints_in_slow_start_carry_their_share_while_the_others_are_overloaded() {
+fn slow_start_endpoints_carry_share_while_others_overloaded() {
     for (factor, seed) in [(1.5, 1), (1.5, 2), (2.0, 1), (2.0, 2), (4.0, 1), (4.0, 2)] {
         let fleet = rolling_deployment(350, 120, 20.0, factor, 0.9, seed);
         let new = fleet
@@ -94,10 +94,10 @@
     }
 }
 
-/// The wall clock from which starts are listed may be stepped by any amount: by the nodes' own
-/// clocks, the endpoints have started just now all the same.
+/// Start times are listed by the wall clock, which may be stepped by any amount. By the clocks of
+/// the nodes, the endpoints have only just started.
 #[test]
-fn all_nodes_together_keep_to_slow_start_though_the_wall_clock_was_stepped() {
+fn fleet_stays_within_slow_start_limit_after_clock_step() {
     for clock_step_ms in [-60_000, -20_000, -6_000, -2_000, 3_600_000] {
         for (nodes, endpoints, capacity, factor) in [
             (3, 12, 100.0, 1.5),
--- a/crates/balancer/tests/memory.rs
+++ b/crates/balancer/tests/memory.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn memory_does_not_grow_with_what_has_passed() {
+fn memory_does_not_grow_with_past_requests_and_endpoints() {
     let mut balancer = Balancer::new(health_check_settings(), 1);
     play(&mut balancer, 1..20_000);
     let Some(before) = resident() else {
--- a/crates/balancer/tests/properties.rs
+++ b/crates/balancer/tests/properties.rs
@@ -157,7 +157,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn the_rules_hold_with_reports_from_health_checks(seed: u64, steps in prop::collection::vec(step(), 1..120)) {
+    fn invariants_hold_with_health_check_reports(seed: u64, steps in prop::collection::vec(step(), 1..120)) {
         let mut settings = health_check_settings();
         settings.rules.initial_capacity = 0.2;
         settings.rules.slow_start_window = ms(5000);
@@ -166,7 +166,7 @@
     }
 
     #[test]
-    fn the_rules_hold_with_reports_from_responses(seed: u64, steps in prop::collection::vec(step(), 1..120)) {
+    fn invariants_hold_with_response_reports(seed: u64, steps in prop::collection::vec(step(), 1..120)) {
         let mut settings = response_report_settings();
         settings.limits.parallel_attempts = false;
         settings.rules.drain_grace = ms(0);
@@ -175,7 +175,7 @@
     }
 
     #[test]
-    fn the_rules_hold_where_little_is_allowed(seed: u64, steps in prop::collection::vec(step(), 1..120)) {
+    fn invariants_hold_with_minimal_limits(seed: u64, steps in prop::collection::vec(step(), 1..120)) {
         let mut settings = settings();
         settings.limits = Limits { max_attempts: 1, cancel: false, ..Settings::default().limits };
         settings.node_count = 1;
@@ -263,7 +263,7 @@
     #![proptest_config(Config { cases: 10, ..config() })]
 
     #[test]
-    fn an_endpoint_in_slow_start_is_not_overloaded(seed: u64, arrivals in prop::collection::vec((0usize..12, 1u64..60), 120..240)) {
+    fn slow_start_endpoint_is_not_overloaded_by_one_node(seed: u64, arrivals in prop::collection::vec((0usize..12, 1u64..60), 120..240)) {
         play_one_node_before_an_endpoint_in_slow_start(seed, &arrivals)?;
     }
 }
@@ -363,7 +363,7 @@
 }
 
 #[test]
-fn hundreds_of_quiet_nodes_do_not_overload_an_endpoint_in_slow_start() {
+fn slow_start_endpoint_is_not_overloaded_by_many_quiet_nodes() {
     for seed in [1, 1000, 2000] {
         play_many_nodes_before_an_endpoint_in_slow_start(seed)
             .unwrap_or_else(|broken| panic!("{broken}"));
