--- a/crates/node/tests/node/bad_input.rs
+++ b/crates/node/tests/node/bad_input.rs
@@ -5,7 +5,7 @@
 const KEY: &str = "Idempotency-Key: 5c0f\r\n";
 
 #[test]
-fn bad_requests_get_an_error_and_reach_no_endpoint() {
+fn malformed_request_gets_error_and_reaches_no_endpoint() {
     let endpoint = ScriptedEndpoint::start(|_| ok(""));
     let (node, _watch, _discovery) = start_node(&settings(LONG_MS, ""), &[&endpoint]);
     let good = || common_headers(5000);
@@ -72,9 +72,10 @@
     );
 }
 
-/// Beside a length, Transfer-Encoding may hide a second request in the body of the first.
+/// Beside a length, Transfer-Encoding may hide a second request in the body of the first. Nothing
+/// that follows on the connection is served.
 #[test]
-fn a_request_with_transfer_encoding_is_rejected_with_all_that_follows_it() {
+fn transfer_encoding_is_rejected_and_connection_closed() {
     let endpoint = ScriptedEndpoint::start(|_| ok(""));
     let (node, _watch, _discovery) = start_node(&settings(LONG_MS, ""), &[&endpoint]);
     let (length, encoding) = ("Content-Length: 4\r\n", "Transfer-Encoding: chunked\r\n");
@@ -104,7 +105,7 @@
 }
 
 #[test]
-fn the_connection_closes_after_a_malformed_request() {
+fn connection_closes_after_malformed_request() {
     let endpoint = ScriptedEndpoint::start(|_| ok(""));
     let (node, _watch, _discovery) = start_node(&settings(LONG_MS, ""), &[&endpoint]);
     let good = common_headers(5000);
@@ -122,7 +123,7 @@
 }
 
 #[test]
-fn a_body_that_is_too_long_is_rejected_before_it_arrives() {
+fn oversized_body_is_rejected_before_it_arrives() {
     let endpoint = ScriptedEndpoint::start(|_| ok(""));
     let (node, _watch, _discovery) = start_node(&settings(LONG_MS, ""), &[&endpoint]);
     for length in [
@@ -153,7 +154,7 @@
 }
 
 #[test]
-fn a_duplicate_of_a_single_header_is_rejected() {
+fn duplicate_header_is_rejected() {
     let endpoint = ScriptedEndpoint::start(|_| ok(""));
     let (node, _watch, _discovery) = start_node(&settings(LONG_MS, ""), &[&endpoint]);
     for twice in [
@@ -174,8 +175,9 @@
     assert_eq!(endpoint.request_count(), 0);
 }
 
+/// The request in flight is served, and its id may be used again after its response.
 #[test]
-fn the_id_of_a_request_in_flight_is_rejected_and_that_request_is_served() {
+fn duplicate_call_id_of_request_in_flight_is_rejected() {
     let (gate_keeper, gate) = gate();
     let endpoint = ScriptedEndpoint::start(move |message| {
         gate.wait();
@@ -215,7 +217,7 @@
 }
 
 #[test]
-fn a_bad_configuration_is_reported_in_one_line() {
+fn bad_configuration_is_reported_in_one_line() {
     let good = config(
         "127.0.0.1:1".parse().expect("an address"),
         &settings(LONG_MS, ""),
--- a/crates/node/tests/node/client_disconnect.rs
+++ b/crates/node/tests/node/client_disconnect.rs
@@ -3,7 +3,7 @@
 use crate::support::*;
 
 #[test]
-fn a_client_that_disconnects_cancels_its_attempt() {
+fn client_disconnect_cancels_attempt() {
     let endpoint = ScriptedEndpoint::start(|_| ScriptedReply::NoResponse);
     // Nothing else ends the attempt while the test waits.
     let (node, _watch, _discovery) = start_node(&settings(500_000, ""), &[&endpoint]);
@@ -15,11 +15,11 @@
     assert!(node.is_ready());
 }
 
-/// What waits behind its request hides from HTTP that a client has disconnected. The node closes
-/// the connection once it has seen that; only then is there an endpoint to send to, and a later
-/// request shows what came there before it.
+/// Bytes that wait behind a request hide from HTTP that its client has disconnected. The node
+/// closes the connection once it has seen that. Only then is an endpoint listed, and a marker
+/// request shows that nothing arrived there before it.
 #[test]
-fn a_queued_request_of_a_disconnected_client_is_not_sent_despite_pipelined_bytes() {
+fn queued_request_of_disconnected_pipelining_client_is_not_sent() {
     for behind in [1, 400] {
         let (node, mut watch, _discovery) = start_node(&settings(LONG_MS, ""), &[]);
         let mut leaving = node.client();
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_client_that_disconnects_with_pipelined_requests_cancels_its_attempt() {
+fn disconnect_with_pipelined_requests_cancels_attempt() {
     let endpoint = ScriptedEndpoint::start(|_| ScriptedReply::NoResponse);
     let (node, _watch, _discovery) = start_node(&settings(500_000, ""), &[&endpoint]);
     let mut client = node.client();
--- a/crates/node/tests/node/connections.rs
+++ b/crates/node/tests/node/connections.rs
@@ -3,8 +3,9 @@
 use crate::support::*;
 use std::collections::BTreeSet;
 
+/// The node closes an idle connection before the endpoint's own idle timeout.
 #[test]
-fn a_connection_is_reused_and_closed_before_its_endpoint_would_close_it() {
+fn connection_is_reused_and_closed_before_idle_timeout() {
     let endpoint = ScriptedEndpoint::start(|_| ok(""));
     let (node, _watch, _discovery) =
         start_node(&settings(LONG_MS, r#","IdleClose":2000"#), &[&endpoint]);
@@ -20,7 +21,7 @@
 }
 
 #[test]
-fn a_connection_carries_one_request_at_a_time() {
+fn connection_carries_one_request_at_a_time() {
     let (gate_keeper, gate) = gate();
     let endpoint = ScriptedEndpoint::start(move |message| {
         if message.start_line.contains("/correct/") {
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn bytes_behind_a_response_are_no_response() {
+fn bytes_after_response_are_not_taken_as_response() {
     // A second response in the same segment, and stray bytes: the connection must not be reused.
     let copies: [&'static [u8]; 2] = [
         b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngoodHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad",
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn a_connection_that_closed_while_idle_fails_no_request() {
+fn connection_closed_while_idle_fails_no_request() {
     // Each connection closes after its first response, and no header says so.
     let endpoint = ScriptedEndpoint::start(|_| {
         ScriptedReply::CloseAfter(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_vec())
@@ -96,9 +97,9 @@
     }
 }
 
-/// What is known of an endpoint does not hold for the next one at its address.
+/// State of a removed endpoint does not apply to the next one at its address.
 #[test]
-fn a_new_endpoint_at_the_address_of_a_removed_one_starts_afresh() {
+fn new_endpoint_at_reused_address_gets_new_connection() {
     let endpoint = ScriptedEndpoint::start(|_| ok(""));
     let (node, mut watch, _discovery) = start_node(&settings(LONG_MS, ""), &[&endpoint]);
     let mut client = node.client();
--- a/crates/node/tests/node/discovery.rs
+++ b/crates/node/tests/node/discovery.rs
@@ -3,8 +3,9 @@
 use crate::support::*;
 use std::time::{Duration, Instant};
 
+/// The idle connection to the draining endpoint closes as well.
 #[test]
-fn a_draining_endpoint_gets_nothing_new_and_its_idle_connection_closes() {
+fn draining_endpoint_gets_no_new_request() {
     let (old, new) = (
         ScriptedEndpoint::start(|_| ok("old")),
         ScriptedEndpoint::start(|_| ok("new")),
@@ -27,7 +28,7 @@
 }
 
 #[test]
-fn an_endpoint_that_moves_is_found_at_its_new_address() {
+fn moved_endpoint_is_reached_at_new_address() {
     let (old, new) = (
         ScriptedEndpoint::start(|_| ok("old")),
         ScriptedEndpoint::start(|_| ok("new")),
@@ -39,8 +40,9 @@
     assert_eq!(node.client().request_read().body, b"new");
 }
 
+/// The node serves from its present list meanwhile, and retries a call that fails.
 #[test]
-fn a_broken_watch_is_resumed_where_it_broke() {
+fn broken_watch_resumes_from_last_index() {
     let (old, new) = (
         ScriptedEndpoint::start(|_| ok("old")),
         ScriptedEndpoint::start(|_| ok("new")),
@@ -71,7 +73,7 @@
 }
 
 #[test]
-fn a_node_that_starts_while_discovery_is_down_serves_from_the_list_it_last_had() {
+fn node_started_without_discovery_serves_from_cached_list() {
     let endpoint = ScriptedEndpoint::start(|_| ok("known"));
     let down = RefusingAddress::reserve();
     let config = config(down.address, &settings(LONG_MS, ""), 1024);
@@ -85,7 +87,7 @@
 }
 
 #[test]
-fn a_node_without_an_endpoint_list_is_not_ready() {
+fn node_without_endpoint_list_is_not_ready() {
     let discovery = DiscoveryServer::start();
     let node = NodeProcess::start(&config(discovery.address, &settings(LONG_MS, ""), 1024), "");
     let mut watch = discovery.next_call();
@@ -96,7 +98,7 @@
 }
 
 #[test]
-fn a_silent_watch_is_broken() {
+fn silent_watch_is_closed_and_reopened() {
     let endpoint = ScriptedEndpoint::start(|_| ok(""));
     let (_node, watch, discovery) = start_node(&settings(LONG_MS, ""), &[&endpoint]);
     assert!(discovery.next_call().start_line.contains("index=8 "));
@@ -104,7 +106,7 @@
 }
 
 #[test]
-fn lists_may_be_indented() {
+fn indented_list_is_parsed() {
     let (old, new) = (
         ScriptedEndpoint::start(|_| ok("old")),
         ScriptedEndpoint::start(|_| ok("new")),
@@ -129,7 +131,7 @@
 }
 
 #[test]
-fn malformed_lists_and_reports_are_dropped_alone() {
+fn malformed_list_entry_or_report_is_dropped_alone() {
     let endpoint = ScriptedEndpoint::start(|_| {
         ScriptedReply::Response("200 OK", "X-Load-Report: inflight=many\r\n", vec![])
     });
@@ -155,7 +157,7 @@
 }
 
 #[test]
-fn where_the_list_must_be_polled_it_is_polled() {
+fn endpoint_list_is_polled_where_settings_require_it() {
     let endpoint = ScriptedEndpoint::start(|_| ok(""));
     let discovery = DiscoveryServer::start();
     let node = NodeProcess::start(&config(discovery.address, &polling_settings(), 1024), "");
@@ -172,9 +174,9 @@
     assert_eq!(node.client().request_read().status(), 200);
 }
 
-/// A node that has never had a list polls for one all the same.
+/// A node that has never had an endpoint list polls for one.
 #[test]
-fn a_node_without_a_cached_list_polls_for_one() {
+fn node_without_cached_list_polls_for_one() {
     let endpoint = ScriptedEndpoint::start(|_| ok(""));
     for known in ["", r#""known":{"index":7},"#] {
         let discovery = DiscoveryServer::start();
@@ -200,7 +202,7 @@
 /// Where lists are watched, the grace period of a change begins when discovery is back and sends
 /// it.
 #[test]
-fn while_discovery_is_down_a_node_reconnects_well_within_the_grace_period() {
+fn watch_is_retried_within_grace_period_during_outage() {
     let endpoint = ScriptedEndpoint::start(|_| ok(""));
     let settings = settings(LONG_MS, "").replace("\"DrainGrace\":2000", "\"DrainGrace\":400");
     let (_node, watch, discovery) = start_node(&settings, &[&endpoint]);
@@ -221,7 +223,7 @@
 }
 
 #[test]
-fn deltas_older_than_the_list_are_ignored() {
+fn outdated_delta_is_ignored() {
     let [drained, kept, new] =
         ["drained", "kept", "new"].map(|name| ScriptedEndpoint::start(move |_| ok(name)));
     let (node, mut watch, _discovery) = start_node(&settings(LONG_MS, ""), &[&drained, &kept]);
@@ -249,9 +251,10 @@
     assert_eq!(drained.request_count(), before);
 }
 
-/// A restarted process has its cached list, and must not wait for discovery, whatever that does.
+/// A restarted process has its cached list and must not wait for discovery, which is silent or
+/// sends half a list.
 #[test]
-fn a_restarted_node_is_ready_though_discovery_is_silent_or_slow() {
+fn restarted_node_is_ready_despite_unresponsive_discovery() {
     for settings in [settings(LONG_MS, ""), polling_settings()] {
         for sends_half_a_list in [false, true] {
             let endpoint = ScriptedEndpoint::start(|_| ok("known"));
@@ -279,7 +282,7 @@
 }
 
 #[test]
-fn a_list_of_1024_endpoints_is_applied_whole() {
+fn list_of_1024_endpoints_is_applied_whole() {
     const ENDPOINTS: usize = 1024;
     let endpoints = [0, 1].map(|_| ScriptedEndpoint::start(|_| ok("")));
     let (node, mut watch, _discovery) = start_node(&settings(LONG_MS, ""), &[]);
--- a/crates/node/tests/node/endpoint_choice.rs
+++ b/crates/node/tests/node/endpoint_choice.rs
@@ -17,10 +17,10 @@
     );
 }
 
-/// Any endpoint may send a response that can't be parsed: were each a reason to eject its endpoint,
-/// soon none would be left.
+/// Any endpoint may send a response that cannot be parsed. If each ejected its endpoint, soon none
+/// would be left.
 #[test]
-fn a_malformed_response_does_not_eject_its_endpoint() {
+fn malformed_response_does_not_eject_endpoint() {
     let nonsense: [&'static [u8]; 4] = [
         b"\x01\xf3 no HTTP\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 0\r\n\r\n",
@@ -33,17 +33,17 @@
     }
 }
 
-/// Healthy endpoints have connection resets too. An unreachable endpoint is another matter.
+/// Healthy endpoints have connection resets too, unlike unreachable ones.
 #[test]
-fn a_connection_reset_during_a_request_does_not_eject_its_endpoint() {
+fn connection_reset_does_not_eject_endpoint() {
     let (one, two) = endpoint_pair_with_first_reply(|| ScriptedReply::CloseAfter(vec![]));
     assert_both_stay_in_use(&one, &two);
 }
 
-/// Reports name their fields as the settings do, or as the protocol does. A node that reads none of
-/// them sends as much to a crowded endpoint as to an idle one.
+/// Load reports name their fields as the settings or as the protocol does. A node that cannot read
+/// them would send as much to a crowded endpoint as to an idle one.
 #[test]
-fn an_endpoint_that_reports_idle_is_joined() {
+fn endpoint_that_reports_idle_gets_more_requests() {
     for (idle, crowded) in [
         (
             "X-Load-Report: concurrent=0,depth=0\r\n",
--- a/crates/node/tests/node/forwarding.rs
+++ b/crates/node/tests/node/forwarding.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_request_that_may_have_run_is_retried_only_if_it_is_idempotent() {
+fn request_that_may_have_run_is_retried_only_if_idempotent() {
     let endings: [fn() -> ScriptedReply; 6] = [
         || ScriptedReply::Response("500 Oops", "", vec![]),
         // Without X-Rejected it may have run.
@@ -64,7 +64,7 @@
 
 /// Such a response ends with its connection (RFC 9112, section 6.3).
 #[test]
-fn a_response_without_a_length_is_whole_if_its_connection_is_closed_in_order() {
+fn response_without_length_is_complete_at_orderly_close() {
     for head in [
         "HTTP/1.1 200 OK\r\n\r\n",
         "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n",
@@ -86,9 +86,10 @@
     }
 }
 
-/// A reset is no end, and neither is a body longer than any may be; the request may have run.
+/// A reset is no end of a response, and neither is a body over the size limit. The request may have
+/// run, and is not retried.
 #[test]
-fn a_response_without_a_length_that_is_reset_or_too_long_has_failed() {
+fn response_without_length_fails_at_reset_or_size_limit() {
     const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\n\r\n";
     let endings: [fn() -> ScriptedReply; 2] = [
         || ScriptedReply::ResetAfter([HEAD, b"half"].concat()),
@@ -109,7 +110,7 @@
 }
 
 #[test]
-fn a_request_that_never_ran_is_retried_even_if_it_is_not_idempotent() {
+fn non_idempotent_request_that_never_ran_is_retried() {
     for status in ["503 Full", "504 Over"] {
         let (one, two) = endpoint_pair_with_first_reply(move || {
             ScriptedReply::Response(status, "X-Rejected: 1\r\n", vec![])
@@ -138,7 +139,7 @@
 }
 
 #[test]
-fn a_shed_request_is_told_when_to_retry() {
+fn shed_request_gets_retry_after_header() {
     let endpoint = ScriptedEndpoint::start(|_| {
         ScriptedReply::Response("503 Full", "X-Rejected: 1\r\n", vec![])
     });
@@ -149,7 +150,7 @@
 }
 
 #[test]
-fn an_attempt_without_a_response_times_out_and_closes_its_connection() {
+fn timed_out_attempt_closes_its_connection() {
     let endpoint = ScriptedEndpoint::start(|_| ScriptedReply::NoResponse);
     let (node, _watch, _discovery) = start_node(&settings(LONG_MS, ""), &[&endpoint]);
     let mut client = node.client();
@@ -167,8 +168,9 @@
     endpoint.next_closed();
 }
 
+/// The first attempt is cancelled when the hedged one is served.
 #[test]
-fn an_attempt_without_a_response_is_hedged_and_cancelled_when_the_other_is_served() {
+fn silent_attempt_is_hedged_and_then_cancelled() {
     let silent = Arc::new(AtomicBool::new(false));
     let start = || {
         let silent = silent.clone();
--- a/crates/node/tests/node/limits.rs
+++ b/crates/node/tests/node/limits.rs
@@ -3,7 +3,7 @@
 use crate::support::*;
 
 #[test]
-fn idle_clients_make_room_for_new_ones() {
+fn idle_client_connection_is_evicted_for_new_client() {
     let endpoint = ScriptedEndpoint::start(|_| ok(""));
     // 52 descriptors, 48 of them reserved: two connections for each side.
     let (node, _watch, _discovery) =
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_waiting_client_takes_the_place_of_the_first_that_falls_idle() {
+fn waiting_client_replaces_first_idle_connection() {
     let (gate_keeper, gate) = gate();
     let endpoints = [0, 1].map(|_| {
         let gate = gate.clone();
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_node_out_of_descriptors_serves_on_when_some_are_free_again() {
+fn node_out_of_descriptors_recovers_when_some_are_freed() {
     let endpoint = ScriptedEndpoint::start(|_| ok(""));
     // So few that not even what the node keeps for itself is left.
     let (node, _watch, _discovery) =
@@ -69,10 +69,10 @@
     );
 }
 
-/// The system allows fewer descriptors than the configuration, and clients that say nothing stay
-/// for good.
+/// The system allows fewer descriptors than the configuration, and idle clients stay connected. The
+/// node keeps descriptors for discovery, endpoints and new clients.
 #[test]
-fn idle_clients_leave_descriptors_for_discovery_endpoints_and_new_clients() {
+fn idle_clients_do_not_exhaust_descriptors() {
     let (old, new) = (
         ScriptedEndpoint::start(|_| ok("old")),
         ScriptedEndpoint::start(|_| ok("new")),
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn bodies_take_no_more_than_their_memory_budget() {
+fn bodies_stay_within_memory_budget() {
     let endpoint = ScriptedEndpoint::start(|_| ok(""));
     // 10 MB leave room for 32 clients, and for 16 bodies of the longest.
     let (node, _watch, _discovery) =
@@ -139,10 +139,10 @@
     );
 }
 
-/// A day brings ever new connections, ids, keys and endpoints, most of these at the addresses of
-/// removed ones.
+/// Over a day there are ever new connections, ids, keys and endpoints, most of these at the
+/// addresses of removed ones. None of them may leave memory behind.
 #[test]
-fn memory_does_not_grow_with_requests_connections_and_endpoints_that_have_gone() {
+fn memory_does_not_grow_with_past_traffic() {
     let endpoint = ScriptedEndpoint::start(|_| ok(""));
     let (node, mut watch, _discovery) = start_node(&settings(600_000, ""), &[&endpoint]);
     let mut client = node.client();
--- a/crates/node/tests/node/logging.rs
+++ b/crates/node/tests/node/logging.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 #[test]
-fn a_log_that_nobody_reads_blocks_nothing() {
+fn unread_log_does_not_block_node() {
     let endpoint = ScriptedEndpoint::start(|_| ok(""));
     let (mut node, _watch, _discovery) =
         start_node_without_log_reader(&settings(LONG_MS, ""), &[&endpoint]);
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn errors_of_peers_do_not_flood_the_log() {
+fn peer_errors_do_not_flood_log() {
     let endpoint = ScriptedEndpoint::start(|_| {
         ScriptedReply::Response("200 OK", "X-Load-Report: inflight=many\r\n", vec![])
     });
--- a/crates/node/tests/node/reload.rs
+++ b/crates/node/tests/node/reload.rs
@@ -2,8 +2,9 @@
 
 use crate::support::*;
 
+/// The new address is watched at once, from the whole list.
 #[test]
-fn a_new_discovery_address_is_watched_at_once_and_the_list_stays_until_its_first_snapshot() {
+fn list_is_kept_until_snapshot_from_new_discovery_address() {
     let (old, new) = (
         ScriptedEndpoint::start(|_| ok("old")),
         ScriptedEndpoint::start(|_| ok("new")),
@@ -31,7 +32,7 @@
 }
 
 #[test]
-fn an_invalid_configuration_changes_nothing() {
+fn invalid_configuration_is_ignored_at_reload() {
     let endpoint = ScriptedEndpoint::start(|_| ok("here"));
     let (node, mut watch, discovery) = start_node(&settings(LONG_MS, ""), &[&endpoint]);
     node.reload("not JSON");
@@ -59,7 +60,7 @@
 }
 
 #[test]
-fn where_the_list_must_be_polled_it_is_polled_at_the_new_address() {
+fn endpoint_list_is_polled_at_new_discovery_address() {
     let (old, new) = (
         ScriptedEndpoint::start(|_| ok("old")),
         ScriptedEndpoint::start(|_| ok("new")),
@@ -81,7 +82,7 @@
 }
 
 #[test]
-fn a_reload_during_shutdown_does_not_end_requests_in_flight() {
+fn reload_during_shutdown_keeps_requests_in_flight() {
     let (gate_keeper, gate) = gate();
     let endpoint = ScriptedEndpoint::start(move |_| {
         gate.wait();
--- a/crates/node/tests/node/shutdown.rs
+++ b/crates/node/tests/node/shutdown.rs
@@ -2,8 +2,10 @@
 
 use crate::support::*;
 
+/// A node that drains still accepts requests for a while, is not ready, and closes idle
+/// connections.
 #[test]
-fn a_terminated_node_finishes_its_requests_in_flight_and_exits() {
+fn terminated_node_finishes_requests_in_flight_and_exits() {
     let (gate_keeper, gate) = gate();
     // One for each request that is held: a new node has one attempt in flight at each endpoint.
     let endpoints = [0, 1, 2].map(|_| {
@@ -48,9 +50,9 @@
     assert_eq!(node.wait_for_exit().code(), Some(0));
 }
 
-/// Idle connections are closed at shutdown; one with a partly received request is not idle.
+/// Idle connections are closed at shutdown, but one with a partly received request is not idle.
 #[test]
-fn a_request_half_read_when_the_node_closes_its_idle_connections_is_answered() {
+fn partly_received_request_is_shed_at_shutdown() {
     let endpoint = ScriptedEndpoint::start(|_| ok(""));
     let (mut node, _watch, _discovery) = start_node(&settings(LONG_MS, ""), &[&endpoint]);
     let (mut half, mut idle, mut new) = (node.client(), node.client(), node.client());
@@ -83,9 +85,9 @@
     assert_eq!(endpoint.request_count(), 2);
 }
 
-/// A client whose deadline is after that of its class is owed a response all the same.
+/// A client whose deadline is after that of its class is owed a final response all the same.
 #[test]
-fn a_request_still_in_flight_at_a_forced_exit_gets_a_response() {
+fn request_in_flight_at_forced_exit_gets_response() {
     let endpoint = ScriptedEndpoint::start(|_| ScriptedReply::NoResponse);
     let settings = settings(400, "").replace("\"Window\"", "\"LateWorth\":0.5,\"Window\"");
     let (mut node, _watch, _discovery) = start_node(&settings, &[&endpoint]);
--- a/crates/node/tests/node/slow_clients.rs
+++ b/crates/node/tests/node/slow_clients.rs
@@ -9,7 +9,7 @@
 const HALF_BODY: &str = "POST /correct/1 HTTP/1.1\r\nHost: s\r\nContent-Length: 5\r\n";
 
 #[test]
-fn an_incomplete_request_times_out_and_an_idle_connection_does_not() {
+fn incomplete_request_times_out_and_idle_connection_does_not() {
     let endpoint = ScriptedEndpoint::start(|_| ok(""));
     let (node, _watch, _discovery) = start_node(&settings(LONG_MS, ""), &[&endpoint]);
     let mut idle = node.client();
@@ -37,7 +37,7 @@
 
 /// The process is stopped for longer than a client may take; the client was in time.
 #[test]
-fn a_request_that_arrived_while_the_node_was_stopped_is_answered() {
+fn request_received_while_process_stopped_gets_response() {
     let endpoint = ScriptedEndpoint::start(|_| ok(""));
     let (node, _watch, _discovery) = start_node(&settings(LONG_MS, ""), &[&endpoint]);
     let mut clients: Vec<Client> = (0..20).map(|_| node.client()).collect();
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn silent_clients_take_no_place_from_clients_that_are_served() {
+fn silent_clients_do_not_displace_active_clients() {
     let endpoint = ScriptedEndpoint::start(|_| ok(""));
     // Room for six clients.
     let (node, _watch, _discovery) =
--- a/crates/node/tests/node/soak.rs
+++ b/crates/node/tests/node/soak.rs
@@ -251,8 +251,9 @@
         .count();
 }
 
+/// No request is lost, sent twice where it may have run, or given the response of another request.
 #[test]
-fn restarts_under_load_lose_repeat_and_mix_up_nothing() {
+fn restarts_under_load_lose_or_repeat_no_request() {
     let seeds = std::env::var(SEEDS_VARIABLE)
         .map_or(SEEDS, |text| text.parse().expect("a number of seeds"));
     let mut totals = Totals::default();
