--- a/crates/balancer-simulation/src/fleet/action_digest.rs
+++ b/crates/balancer-simulation/src/fleet/action_digest.rs
@@ -2,16 +2,35 @@
 
 use ottertiller_balancer::{Action, Timer};
 use sha2::{Digest, Sha256};
+use std::fmt;
 use std::time::Duration;
 
+/// The bytes of the digest that are kept.
+const DIGEST_BYTES: usize = 8;
+
+/// The number of recorded actions, and the first bytes of their digest in hexadecimal.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RecordedActions {
+    pub count: usize,
+    pub digest: String,
+}
+
+impl fmt::Display for RecordedActions {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        write!(formatter, "{} actions, {}", self.count, self.digest)
+    }
+}
+
+/// Reckons a digest as actions are added.
 #[derive(Default)]
-pub struct ActionDigest {
+pub(super) struct ActionDigest {
     digest: Sha256,
     actions: usize,
 }
 
 impl ActionDigest {
-    pub fn add(&mut self, now: Duration, node: usize, action: &Action) {
+    /// Adds an action of a node.
+    pub(super) fn add(&mut self, now: Duration, node: usize, action: &Action) {
         let numbers: [u64; 4] = match action {
             Action::StartAttempt {
                 id,
@@ -35,15 +54,21 @@
         }
     }
 
-    /// How many actions were added, and the first eight bytes of their digest.
-    pub fn finish(&self) -> (usize, String) {
+    /// Returns the number and the digest of the actions that were added.
+    pub(super) fn finish(&self) -> RecordedActions {
         let digest = self.digest.clone().finalize();
-        let hex = digest.iter().take(8).map(|byte| format!("{byte:02x}"));
-        (self.actions, hex.collect())
+        let hex = digest
+            .iter()
+            .take(DIGEST_BYTES)
+            .map(|byte| format!("{byte:02x}"));
+        RecordedActions {
+            count: self.actions,
+            digest: hex.collect(),
+        }
     }
 }
 
-/// The number of a timer on the simulator's wire.
+/// Returns the number of a timer on the simulator's wire.
 fn timer_number(timer: Timer) -> u64 {
     match timer {
         Timer::Request(id) => id.0,
--- /dev/null
+++ b/crates/balancer-simulation/src/fleet/nodes.rs
@@ -0,0 +1,180 @@
+//! The nodes of a fleet: their starts, the events that they handle, and the actions that follow.
+
+use super::attempts::{Attempt, ScheduledAttemptEnd};
+use super::schedule::Due;
+use super::{FleetSimulation, HEALTH_CHECK_DELAY, LIST_DELAY};
+use ottertiller_balancer::{
+    Action, Balancer, EndpointEntry, Event, ListKind, NewRequest, Outcome, RequestId, Settings,
+};
+use rand_pcg::rand_core::RngCore;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// Every tenth node is busy and gets several times the requests of the others.
+const BUSY_NODE_INTERVAL: u32 = 10;
+const BUSY_NODE_WEIGHT: f64 = 4.0;
+
+/// The shortest time after which a timer fires. A timer never fires in the round that sets it.
+const SHORTEST_TIMER: Duration = Duration::from_nanos(1);
+
+pub(super) struct SimulatedNode {
+    pub(super) balancer: Balancer,
+    /// How often it was restarted. What was scheduled in an earlier run is void.
+    pub(super) run: u32,
+    pub(super) attempts: BTreeMap<RequestId, Vec<Attempt>>,
+    /// Its requests a second.
+    pub(super) rate: f64,
+}
+
+impl FleetSimulation {
+    /// Starts nodes that get `rate` requests a second in all.
+    pub(super) fn start_nodes(&mut self, count: u32, rate: f64) {
+        let weights: Vec<f64> = (0..count)
+            .map(|node| {
+                if node % BUSY_NODE_INTERVAL == BUSY_NODE_INTERVAL - 1 {
+                    BUSY_NODE_WEIGHT
+                } else {
+                    1.0
+                }
+            })
+            .collect();
+        let total: f64 = weights.iter().sum();
+        for (node, weight) in weights.into_iter().enumerate() {
+            let balancer = self.start_balancer(node);
+            let rate = rate * weight / total;
+            self.nodes.push(SimulatedNode {
+                balancer,
+                run: 0,
+                attempts: BTreeMap::new(),
+                rate,
+            });
+        }
+    }
+
+    fn start_balancer(&mut self, node: usize) -> Balancer {
+        let settings = Settings {
+            node_index: node as u32,
+            ..self.settings.clone()
+        };
+        Balancer::new(settings, self.rng.next_u64())
+    }
+
+    /// Restarts a node, which forgets everything and gets the endpoint list anew.
+    pub(super) fn restart(&mut self, node: usize) {
+        let balancer = self.start_balancer(node);
+        let restarted = &mut self.nodes[node];
+        restarted.balancer = balancer;
+        restarted.run += 1;
+        restarted.attempts.clear();
+        self.deliver_snapshot(node);
+    }
+
+    /// Sends a node a request.
+    pub(super) fn request(&mut self, node: usize) {
+        self.requests += 1;
+        let id = RequestId(self.requests as u64);
+        self.nodes[node].attempts.insert(id, Vec::new());
+        let remaining = self.settings.classes[0].deadline;
+        let mut request = NewRequest {
+            id,
+            remaining,
+            ..NewRequest::default()
+        };
+        if self.faults {
+            self.vary_request(&mut request);
+        }
+        self.deliver(node, Event::Request(request));
+        if self.faults {
+            self.maybe_disconnect(node, id);
+        }
+    }
+
+    /// Delivers the present endpoint list to a node.
+    pub(super) fn deliver_snapshot(&mut self, node: usize) {
+        let entries = self
+            .endpoints
+            .values()
+            .map(|endpoint| self.listed(endpoint.entry))
+            .collect();
+        self.deliver(
+            node,
+            Event::EndpointList {
+                kind: ListKind::Snapshot,
+                entries,
+            },
+        );
+    }
+
+    /// Delivers the failure of a node's call for the endpoint list.
+    pub(super) fn deliver_list_failure(&mut self, node: usize) {
+        self.deliver(
+            node,
+            Event::EndpointList {
+                kind: ListKind::Failed,
+                entries: Vec::new(),
+            },
+        );
+    }
+
+    /// Returns an entry with its start time as the wall clock shows it.
+    fn listed(&self, entry: EndpointEntry) -> EndpointEntry {
+        let step = Duration::from_millis(self.clock_step_ms.unsigned_abs());
+        let shift = |started: Duration| match self.clock_step_ms {
+            0.. => started + step,
+            _ => started.saturating_sub(step),
+        };
+        EndpointEntry {
+            started: entry.started.map(shift),
+            ..entry
+        }
+    }
+
+    /// Lets a node handle an event, and executes its actions.
+    pub(super) fn deliver(&mut self, node: usize, event: Event) {
+        let mut actions = Vec::new();
+        self.nodes[node]
+            .balancer
+            .handle(self.now, event, &mut actions);
+        for action in actions {
+            self.digest.add(self.now, node, &action);
+            self.execute(node, action);
+        }
+    }
+
+    fn execute(&mut self, node: usize, action: Action) {
+        match action {
+            Action::StartAttempt {
+                id,
+                endpoint,
+                timeout,
+            } => {
+                self.start_attempt(node, id, endpoint, timeout);
+            }
+            Action::SetTimer { after, timer } => {
+                let at = self.now + after.max(SHORTEST_TIMER);
+                self.schedule(at, node, Due::Timer(timer));
+            }
+            Action::CancelAttempt { id, attempt } => {
+                let end = ScheduledAttemptEnd {
+                    id,
+                    attempt: attempt as usize,
+                    outcome: Outcome::Cancelled,
+                    started: self.now,
+                };
+                self.schedule(self.now, node, Due::AttemptEnd(end));
+            }
+            Action::HealthCheck { endpoint } if self.faults => {
+                let due = Due::HealthCheckEnd {
+                    endpoint,
+                    started: self.now,
+                };
+                self.schedule(self.now + HEALTH_CHECK_DELAY, node, due);
+            }
+            Action::Subscribe { enabled: true } if self.faults => {
+                let due = self.draw_list_outcome();
+                self.schedule(self.now + LIST_DELAY, node, due);
+            }
+            _ => {}
+        }
+    }
+}
--- a/crates/balancer-simulation/src/fleet/schedule.rs
+++ b/crates/balancer-simulation/src/fleet/schedule.rs
@@ -1,21 +1,17 @@
-//! What is due and when, in the order of time; what is due at one moment, in the order in which it
-//! was added.
+//! The events to come, in the order of their time. Events of the same time are in the order in
+//! which they were added.
 
-use ottertiller_balancer::{EndpointId, Outcome, RequestId, Timer};
+use super::attempts::ScheduledAttemptEnd;
+use ottertiller_balancer::{EndpointId, RequestId, Timer};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
 
-/// Something that happens to a node.
-pub enum Due {
+/// An event at a node.
+pub(super) enum Due {
     Arrival,
     Timer(Timer),
-    AttemptEnd {
-        id: RequestId,
-        attempt: usize,
-        outcome: Outcome,
-        started: Duration,
-    },
+    AttemptEnd(ScheduledAttemptEnd),
     Restart,
     HealthCheckEnd {
         endpoint: EndpointId,
@@ -28,32 +24,34 @@
     },
 }
 
-/// Something that is due at a node in that run of it.
-pub struct Scheduled {
-    pub node: usize,
-    pub run: u32,
-    pub due: Due,
+/// An event at a node, in one run of it.
+pub(super) struct Scheduled {
+    pub(super) node: usize,
+    pub(super) run: u32,
+    pub(super) due: Due,
 }
 
+/// The events to come.
 #[derive(Default)]
-pub struct Schedule {
+pub(super) struct Schedule {
     times: BinaryHeap<Reverse<(Duration, u64)>>,
     scheduled: BTreeMap<u64, Scheduled>,
     added: u64,
 }
 
 impl Schedule {
-    pub fn add(&mut self, at: Duration, scheduled: Scheduled) {
+    /// Adds an event at this time.
+    pub(super) fn add(&mut self, at: Duration, scheduled: Scheduled) {
         self.added += 1;
         self.times.push(Reverse((at, self.added)));
         self.scheduled.insert(self.added, scheduled);
     }
 
-    /// Takes out what is due next, unless that is after `end`.
-    pub fn next_until(&mut self, end: Duration) -> Option<(Duration, Scheduled)> {
+    /// Removes and returns the next event and its time, unless it is after `end`.
+    pub(super) fn next_until(&mut self, end: Duration) -> Option<(Duration, Scheduled)> {
         let Reverse((at, number)) = self.times.peek().copied().filter(|next| next.0.0 <= end)?;
         self.times.pop();
-        let scheduled = self.scheduled.remove(&number).expect("something scheduled");
+        let scheduled = self.scheduled.remove(&number).expect("a scheduled event");
         Some((at, scheduled))
     }
 }
--- a/crates/balancer-simulation/src/node/invariants.rs
+++ b/crates/balancer-simulation/src/node/invariants.rs
@@ -1,35 +1,38 @@
-//! The rules that a node must keep, checked for each action:
+//! The invariants of a node, checked for each action:
 //!
 //! 1. each request has exactly one final response, by its deadline;
 //! 2. a request that may have run is retried or shed only as far as its idempotency allows;
-//! 3. nothing is sent to an endpoint that drains or has gone, once the grace period is over.
+//! 3. no attempt starts at an endpoint that drains or was removed, once the grace period is over.
 //!
-//! Rule 4, on endpoints in slow start, depends on all nodes: [`fleet`](super::super::fleet) counts
-//! what they send.
+//! Invariant 4, the limit of an endpoint in slow start, depends on all nodes:
+//! [`fleet`](crate::fleet) counts what they send.
 
-use super::{Attempt, NodeSimulation, RequestState};
+use super::NodeSimulation;
+use super::requests::{Attempt, RequestState};
 use ottertiller_balancer::{EndpointEntry, EndpointId, Idempotency, Outcome, RequestId, Scope};
 use std::time::Duration;
 
-/// What a client may wait beyond the deadline: the precision of timers.
+/// The time that a final response may be late by: the precision of timers.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(5);
 
 impl NodeSimulation {
+    /// Checks invariant 1: no request is unfinished after its deadline.
     pub(super) fn check_deadlines(&self) {
         for (id, request) in &self.requests {
             let in_time = self.now <= request.deadline + DEADLINE_TOLERANCE;
             assert!(
-                request.answered || in_time,
-                "rule 1: {id:?} has no response"
+                request.finished || in_time,
+                "invariant 1: {id:?} has no final response"
             );
         }
     }
 
+    /// Checks that a request may be shed now.
     pub(super) fn check_shed(&self, id: RequestId) {
         let request = self
             .requests
             .get(&id)
-            .expect("rule 1: sheds a request it was not given");
+            .expect("invariant 1: sheds a request it was not given");
         let may_be_shed = match self.settings.classes[request.class].idempotency {
             Idempotency::Idempotent
             | Idempotency::Keyed {
@@ -37,17 +40,34 @@
             } => true,
             _ => first_that_may_have_run(request).is_none(),
         };
-        assert!(may_be_shed, "rule 2: {id:?} may have run and is shed");
+        assert!(may_be_shed, "invariant 2: {id:?} may have run and is shed");
     }
 
+    /// Checks that attempts may be cancelled.
+    pub(super) fn check_cancellation(&self) {
+        assert!(
+            self.settings.limits.cancel,
+            "cancels where that is not allowed"
+        );
+    }
+
+    /// Checks that health checks may be sent.
+    pub(super) fn check_health_check(&self) {
+        assert!(
+            self.settings.limits.health_checks,
+            "health checks where they are not allowed"
+        );
+    }
+
+    /// Checks that a request may be sent to an endpoint now.
     pub(super) fn check_attempt(&self, id: RequestId, endpoint: EndpointId) {
         let request = self
             .requests
             .get(&id)
-            .expect("rule 1: sends a request it was not given");
+            .expect("invariant 1: sends a request it was not given");
         assert!(
-            !request.answered,
-            "rule 1: {id:?} is sent after its response"
+            !request.finished,
+            "invariant 1: {id:?} is sent after its final response"
         );
         let listed = self
             .listed
@@ -55,30 +75,30 @@
             .expect("sends to an endpoint that was never listed");
         let grace = self.settings.rules.drain_grace;
         let in_grace = listed.stopped.is_none_or(|at| self.now <= at + grace);
-        assert!(in_grace, "rule 3: {endpoint:?} drains or has gone");
+        assert!(in_grace, "invariant 3: {endpoint:?} drains or was removed");
         let limits = &self.settings.limits;
         assert!(
             request.attempts.len() < limits.max_attempts as usize,
             "too many attempts"
         );
-        let parallel = request
+        let is_parallel = request
             .attempts
             .iter()
             .any(|attempt| attempt.outcome.is_none());
         assert!(
-            !parallel || limits.parallel_attempts,
+            !is_parallel || limits.parallel_attempts,
             "two attempts at once"
         );
         if let Some(first) = first_that_may_have_run(request) {
             let allowed = self.may_run_again(request.class, first, &listed.entry);
             assert!(
                 allowed,
-                "rule 2: {id:?} may have run and is sent to {endpoint:?}"
+                "invariant 2: {id:?} may have run and is sent to {endpoint:?}"
             );
         }
     }
 
-    /// Whether a request that may have run first in this attempt may be sent to an endpoint now.
+    /// Returns whether a request may be sent to an endpoint now that may have run in this attempt.
     fn may_run_again(&self, class: usize, first: &Attempt, to: &EndpointEntry) -> bool {
         match self.settings.classes[class].idempotency {
             Idempotency::Idempotent => true,
@@ -96,6 +116,7 @@
     }
 }
 
+/// Returns the first attempt in which a request may have run.
 fn first_that_may_have_run(request: &RequestState) -> Option<&Attempt> {
     request
         .attempts
@@ -103,7 +124,7 @@
         .find(|attempt| !attempt.outcome.is_some_and(proves_no_run))
 }
 
-/// The outcomes that the rules count as proof that a request did not run.
+/// Returns whether an outcome proves that the request did not run.
 fn proves_no_run(outcome: Outcome) -> bool {
     matches!(
         outcome,
--- a/crates/balancer/tests/action_digest.rs
+++ b/crates/balancer/tests/action_digest.rs
@@ -1,17 +1,17 @@
-//! The decisions of fixed seeds, action by action: a change of the code that is to leave behaviour
-//! as it is leaves every digest as it is. A change of behaviour changes some, and its commit says
-//! why.
+//! Digests of all actions of fleets with fixed seeds. A change that keeps the behaviour keeps every
+//! digest; the commit of a change of behaviour says why digests change.
 
 use ottertiller_balancer::{Settings, Tenant};
 use ottertiller_balancer_simulation::fixtures::{
     health_check_settings, ms, response_report_settings, settings,
 };
-use ottertiller_balancer_simulation::fleet::{FleetConfig, FleetSimulation};
+use ottertiller_balancer_simulation::fleet::{FleetConfig, FleetSimulation, RecordedActions};
 
 const SEEDS: [u64; 2] = [1, 2];
+const FLEET_SIZES: [u32; 2] = [1, 12];
 
-/// The settings of one kind of site, with slow start and two tenants.
-fn site(base: Settings, with_prices: bool) -> Settings {
+/// Adds slow start and two tenants to settings, and costs if `with_costs`.
+fn with_tenants(base: Settings, with_costs: bool) -> Settings {
     let mut settings = base;
     settings.rules.initial_capacity = 0.3;
     settings.rules.slow_start_window = ms(8_500);
@@ -29,15 +29,15 @@
     settings.over_quota_weight = 0.1;
     settings.objective_weights.worst_class = 0.1;
     settings.limits.max_retry_after = Some(ms(2_000));
-    if with_prices {
+    if with_costs {
         settings.cost_weights.connections = 0.2;
         settings.weight_by_work = true;
     }
     settings
 }
 
-/// Twenty seconds with a rolling replacement of endpoints, and all nodes restarted meanwhile.
-fn play(settings: &Settings, nodes: u32, seed: u64) -> (usize, String) {
+/// Plays twenty seconds in which endpoints are replaced twice and all nodes are restarted.
+fn play(settings: &Settings, nodes: u32, seed: u64) -> RecordedActions {
     let config = FleetConfig {
         settings,
         nodes,
@@ -54,24 +54,21 @@
     fleet.advance(ms(5_000));
     fleet.replace_endpoints(6..12, 30..36);
     fleet.advance(ms(10_000));
-    fleet.digest()
+    fleet.recorded_actions()
 }
 
-/// What fleets of one and of twelve nodes do with these settings, for each seed.
+/// Returns the recorded actions of fleets of one and of twelve nodes, each with every seed.
 fn digests(settings: &Settings) -> Vec<String> {
-    let fleets = [1, 12]
+    FLEET_SIZES
         .into_iter()
-        .flat_map(|nodes| SEEDS.map(|seed| (nodes, seed)));
-    let played = fleets.map(|(nodes, seed)| play(settings, nodes, seed));
-    played
-        .map(|(actions, digest)| format!("{actions} actions, {digest}"))
+        .flat_map(|nodes| SEEDS.map(|seed| play(settings, nodes, seed).to_string()))
         .collect()
 }
 
 #[test]
 fn digests_unchanged_with_watch_and_health_check_reports() {
     assert_eq!(
-        digests(&site(health_check_settings(), true)),
+        digests(&with_tenants(health_check_settings(), true)),
         [
             "36039 actions, b0e2ae34ee9de69b",
             "36896 actions, e9c709e0598e6416",
@@ -85,7 +82,7 @@
 fn digests_unchanged_with_polling_and_health_check_reports() {
     let settings = Settings {
         poll_endpoints: true,
-        ..site(health_check_settings(), false)
+        ..with_tenants(health_check_settings(), false)
     };
     assert_eq!(
         digests(&settings),
@@ -101,7 +98,7 @@
 #[test]
 fn digests_unchanged_with_watch_and_response_reports() {
     assert_eq!(
-        digests(&site(response_report_settings(), true)),
+        digests(&with_tenants(response_report_settings(), true)),
         [
             "19134 actions, 3a9d50339ec2a44c",
             "19643 actions, 1239bc3f56480273",
@@ -115,7 +112,7 @@
 fn digests_unchanged_with_polling_and_no_load_reports() {
     let settings = Settings {
         poll_endpoints: true,
-        ..site(settings(), false)
+        ..with_tenants(settings(), false)
     };
     assert_eq!(
         digests(&settings),
@@ -130,13 +127,12 @@
 
 #[test]
 fn digests_unchanged_without_parallel_or_cancelled_attempts() {
-    let mut settings = site(response_report_settings(), false);
+    let mut settings = with_tenants(response_report_settings(), false);
     settings.limits.parallel_attempts = false;
     settings.limits.cancel = false;
-    settings
-        .classes
-        .iter_mut()
-        .for_each(|class| class.late_weight = 0.3);
+    for class in &mut settings.classes {
+        class.late_weight = 0.3;
+    }
     assert_eq!(
         digests(&settings),
         [
--- a/crates/balancer/tests/decisions/admission.rs
+++ b/crates/balancer/tests/decisions/admission.rs
@@ -1,9 +1,11 @@
 //! Admission: what is shed when there is more to do than the endpoints can.
 
-use crate::support::{endpoints_attempted, is_shed, serve_one};
+use crate::support::serve_one;
 use ottertiller_balancer::{Outcome, Tenant};
+use ottertiller_balancer_simulation::actions::{count_attempts, endpoints_attempted, is_shed};
+use ottertiller_balancer_simulation::fixtures::classes::NOT_IDEMPOTENT;
 use ottertiller_balancer_simulation::fixtures::{ms, response_report_settings};
-use ottertiller_balancer_simulation::node::NodeSimulation;
+use ottertiller_balancer_simulation::node::{AttemptId, NodeSimulation, RequestOptions};
 
 #[test]
 fn tenant_over_quota_is_shed_first() {
@@ -17,22 +19,28 @@
     ];
     settings.over_quota_weight = 0.1;
     let mut node = NodeSimulation::with_endpoints(settings, 2);
-    // Tenant 0 floods, tenant 1 keeps to its quota; crowded endpoints respond to nothing in time.
-    let mut sheds = [0, 0];
+    // Tenant 0 exceeds its quota, tenant 1 does not; endpoints complete a tenth of the requests.
+    let (mut sent, mut shed) = ([0, 0], [0, 0]);
     for step in 0..2000 {
         let tenant = usize::from(step % 23 == 0);
-        let (_, actions) = node.request_with(1, tenant, ms(1000), None);
-        sheds[tenant] += usize::from(is_shed(&actions));
+        sent[tenant] += 1;
+        let (_, actions) = node.request_with(RequestOptions {
+            class: NOT_IDEMPOTENT,
+            tenant,
+            ..RequestOptions::default()
+        });
+        shed[tenant] += usize::from(is_shed(&actions));
         node.advance(ms(5));
-        let in_flight = node.in_flight();
-        if step % 10 == 0 && !in_flight.is_empty() {
-            node.end_attempt(in_flight[0].0, in_flight[0].1, Outcome::Served, None);
+        let oldest = node.attempts_in_flight().first().copied();
+        if let Some(attempt) = oldest.filter(|_| step % 10 == 0) {
+            node.end_attempt(attempt, Outcome::Served, None);
         }
     }
-    let [flood, modest] = [sheds[0] as f64 / 1913.0, sheds[1] as f64 / 87.0];
+    assert_eq!(sent, [1913, 87]);
+    let [over_quota, within_quota] = [0, 1].map(|tenant| shed[tenant] as f64 / sent[tenant] as f64);
     assert!(
-        flood > 0.3 && modest < flood,
-        "shed: {flood} of the flood, {modest} of the modest tenant"
+        over_quota > 0.3 && within_quota < over_quota,
+        "shed: {over_quota} of the tenant over quota, {within_quota} of the one within"
     );
 }
 
@@ -42,13 +50,13 @@
 fn fresh_node_limits_requests_in_flight_during_overload() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
     for _ in 0..300 {
-        node.request(1);
+        node.request(NOT_IDEMPOTENT);
         node.advance(ms(1));
     }
     assert!(
-        node.in_flight().len() <= 4 * 2,
+        node.attempts_in_flight().len() <= 4 * 2,
         "{} in flight at four silent endpoints",
-        node.in_flight().len()
+        node.attempts_in_flight().len()
     );
 }
 
@@ -56,25 +64,22 @@
 /// objective, so such responses must not open crowding levels.
 #[test]
 fn responses_near_objective_close_crowding_level() {
-    let fill = |answer: u64| {
+    let most_in_flight = |response_time: u64| {
         let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
         let mut most = 0;
         for _ in 0..2000 {
-            node.request(1);
+            node.request(NOT_IDEMPOTENT);
             node.advance(ms(2));
-            most = most.max(node.in_flight().len());
-            let due: Vec<_> = node
-                .in_flight()
-                .into_iter()
-                .filter(|(id, _)| node.since_first_attempt(*id) >= ms(answer))
-                .collect();
-            due.into_iter().for_each(|(id, attempt)| {
-                drop(node.end_attempt(id, attempt, Outcome::Served, Some(3.0)))
-            });
+            most = most.max(node.attempts_in_flight().len());
+            for attempt in node.attempts_in_flight() {
+                if node.since_first_attempt(attempt.request) >= ms(response_time) {
+                    node.end_attempt(attempt, Outcome::Served, Some(3.0));
+                }
+            }
         }
         most
     };
-    let (quick, late) = (fill(100), fill(390));
+    let (quick, late) = (most_in_flight(100), most_in_flight(390));
     assert!(
         quick >= 4 * 4,
         "{quick} in flight at four endpoints: responses with time to spare open the levels"
@@ -97,8 +102,8 @@
         let (id, actions) = node.request(class);
         if !endpoints_attempted(&actions).is_empty() {
             sent[class] += 1;
-            node.advance(ms(390)); // with nothing to spare
-            node.end_attempt(id, 0, Outcome::Served, Some(3.0));
+            node.advance(ms(390)); // just within the objective
+            node.end_attempt(AttemptId::first(id), Outcome::Served, Some(3.0));
         }
     }
     assert!(sent[1] > 2 * sent[0] && sent[0] > 0, "{sent:?}");
@@ -109,14 +114,14 @@
 #[test]
 fn late_responses_of_idle_endpoints_cause_shedding_and_recovery() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
-    let sent = |node: &mut NodeSimulation, takes: u64| {
+    let sent = |node: &mut NodeSimulation, response_time: u64| {
         let mut sent = 0;
         for _ in 0..200 {
-            let (id, actions) = node.request(1);
+            let (id, actions) = node.request(NOT_IDEMPOTENT);
             if !endpoints_attempted(&actions).is_empty() {
                 sent += 1;
-                node.advance(ms(takes));
-                node.end_attempt(id, 0, Outcome::Served, Some(3.0));
+                node.advance(ms(response_time));
+                node.end_attempt(AttemptId::first(id), Outcome::Served, Some(3.0));
             }
         }
         sent
@@ -136,20 +141,23 @@
     for _ in 0..60 {
         serve_one(&mut node, 3.0); // none is idle
     }
+    let with_cost = |work| RequestOptions {
+        class: NOT_IDEMPOTENT,
+        cost_hint: Some(ms(work)),
+        ..RequestOptions::default()
+    };
+    let (light, heavy) = (with_cost(200), with_cost(420));
     assert!(
-        is_shed(&node.request_with(1, 0, ms(1000), Some(ms(420))).1),
+        is_shed(&node.request_with(heavy).1),
         "420 ms of work, 400 to the objective"
     );
-    assert_eq!(
-        endpoints_attempted(&node.request_with(1, 0, ms(1000), Some(ms(200))).1).len(),
-        1
-    );
+    assert_eq!(count_attempts(&node.request_with(light).1), 1);
     for _ in 0..200 {
         serve_one(&mut node, 0.0);
     }
     assert_eq!(
-        endpoints_attempted(&node.request_with(1, 0, ms(1000), Some(ms(420))).1).len(),
+        count_attempts(&node.request_with(heavy).1),
         1,
-        "most are idle: it may try"
+        "most are idle: it may be sent"
     );
 }
--- a/crates/balancer/tests/decisions/client_retry.rs
+++ b/crates/balancer/tests/decisions/client_retry.rs
@@ -1,37 +1,44 @@
 //! Retries by clients.
 
-use crate::support::{endpoints_attempted, is_shed};
 use ottertiller_balancer::{NewRequest, Outcome, RequestId};
+use ottertiller_balancer_simulation::actions::{count_attempts, is_shed};
+use ottertiller_balancer_simulation::fixtures::classes::{IDEMPOTENT, KEYED_EVERYWHERE};
 use ottertiller_balancer_simulation::fixtures::{ms, response_report_settings};
-use ottertiller_balancer_simulation::node::NodeSimulation;
+use ottertiller_balancer_simulation::node::{NodeSimulation, RequestOptions};
+
+/// Ids above all that the simulation gives.
+const FIRST_ID: u64 = 1_000_000;
 
 /// Clients that have timed out send their requests again. Work for responses without value would
 /// sustain an overload.
 #[test]
 fn client_retry_past_latency_objective_is_shed_unsent() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
-    let retry = |node: &mut NodeSimulation, left: u64| {
-        let mut new = NewRequest {
-            id: RequestId(1_000_000 + left),
-            class: 0,
-            remaining: ms(left),
-            ..Default::default()
-        };
-        new.client_retry = true;
-        node.submit(new)
+    let retry = |node: &mut NodeSimulation, remaining: u64| {
+        node.submit(NewRequest {
+            id: RequestId(FIRST_ID + remaining),
+            class: IDEMPOTENT,
+            remaining: ms(remaining),
+            client_retry: true,
+            ..NewRequest::default()
+        })
     };
-    node.request_with(0, 0, ms(450), None); // a first attempt waits for 450 of the 1000 ms
+    // A first attempt of a client waits for 450 of the 1000 ms.
+    node.request_with(RequestOptions {
+        remaining: ms(450),
+        ..RequestOptions::default()
+    });
     assert!(
         is_shed(&retry(&mut node, 550)),
         "450 ms have gone by, the objective is 400"
     );
     assert_eq!(
-        endpoints_attempted(&retry(&mut node, 650)).len(),
+        count_attempts(&retry(&mut node, 650)),
         1,
         "350 ms have gone by"
     );
     assert_eq!(
-        endpoints_attempted(&retry(&mut node, 449)).len(),
+        count_attempts(&retry(&mut node, 449)),
         1,
         "like a first attempt: it may have been shed at once"
     );
@@ -43,26 +50,22 @@
 #[test]
 fn client_retry_age_is_inferred_from_other_retries() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 6);
-    let (short_class, whole_class) = (0, 4);
-    let mut next = 1_000_000;
-    let mut serve = |node: &mut NodeSimulation, class: usize, left: u64, client_retry: bool| {
-        next += 1;
-        let new = NewRequest {
-            id: RequestId(next),
-            class,
-            remaining: ms(left),
-            ..Default::default()
+    let (short_class, whole_class) = (IDEMPOTENT, KEYED_EVERYWHERE);
+    let mut next_id = FIRST_ID;
+    let mut serve =
+        |node: &mut NodeSimulation, class: usize, remaining: u64, client_retry: bool| {
+            next_id += 1;
+            let actions = node.submit(NewRequest {
+                id: RequestId(next_id),
+                class,
+                remaining: ms(remaining),
+                client_retry,
+                ..NewRequest::default()
+            });
+            node.advance(ms(20));
+            node.end_all_attempts(Outcome::Served, Some(0.0));
+            count_attempts(&actions)
         };
-        let actions = node.submit(NewRequest {
-            client_retry,
-            ..new
-        });
-        node.advance(ms(20));
-        node.in_flight()
-            .into_iter()
-            .for_each(|(id, i)| drop(node.end_attempt(id, i, Outcome::Served, Some(0.0))));
-        endpoints_attempted(&actions).len()
-    };
     assert_eq!(
         serve(&mut node, short_class, 450, false),
         1,
--- a/crates/balancer/tests/decisions/deadline.rs
+++ b/crates/balancer/tests/decisions/deadline.rs
@@ -1,22 +1,23 @@
 //! Requests that cannot be served in time, and requests that wait for an endpoint.
 
 use ottertiller_balancer::{Action, EndpointId, ListKind};
+use ottertiller_balancer_simulation::fixtures::classes::NOT_IDEMPOTENT;
 use ottertiller_balancer_simulation::fixtures::{entry, ms, response_report_settings};
-use ottertiller_balancer_simulation::node::NodeSimulation;
+use ottertiller_balancer_simulation::node::{AttemptId, NodeSimulation};
 
 #[test]
 fn unserved_request_fails_at_latency_objective() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 2);
-    let (id, _) = node.request(1);
+    let (id, _) = node.request(NOT_IDEMPOTENT);
     node.advance(ms(401));
-    assert!(node.is_answered(id));
+    assert!(node.is_finished(id));
     assert!(node.actions.contains(&Action::Fail { id }));
 }
 
 #[test]
 fn request_without_endpoint_is_shed_at_latency_objective() {
     let mut node = NodeSimulation::new(response_report_settings());
-    let (id, _) = node.request(1);
+    let (id, _) = node.request(NOT_IDEMPOTENT);
     node.advance(ms(401));
     assert!(
         node.actions
@@ -28,9 +29,9 @@
 #[test]
 fn queued_request_is_sent_when_endpoint_is_listed() {
     let mut node = NodeSimulation::new(response_report_settings());
-    let (id, _) = node.request(1);
+    let (id, _) = node.request(NOT_IDEMPOTENT);
     node.advance(ms(50));
     node.update_endpoints(ListKind::Delta, vec![entry(1)]);
     node.advance(ms(50));
-    assert_eq!(node.endpoint_of(id, 0), EndpointId(1));
+    assert_eq!(node.endpoint_of(AttemptId::first(id)), EndpointId(1));
 }
--- a/crates/balancer/tests/decisions/endpoint_list.rs
+++ b/crates/balancer/tests/decisions/endpoint_list.rs
@@ -1,8 +1,12 @@
 //! The endpoint list: snapshots, deltas, and when it is polled.
 
-use crate::support::endpoints_attempted;
-use ottertiller_balancer::{Action, EndpointEntry, EndpointState, ListKind, Settings};
-use ottertiller_balancer_simulation::fixtures::{entry, ms, response_report_settings};
+use crate::support::send_request;
+use ottertiller_balancer::{ListKind, Settings};
+use ottertiller_balancer_simulation::actions::count_polls;
+use ottertiller_balancer_simulation::fixtures::classes::IDEMPOTENT;
+use ottertiller_balancer_simulation::fixtures::{
+    draining_entry, entry, ms, response_report_settings,
+};
 use ottertiller_balancer_simulation::node::NodeSimulation;
 
 #[test]
@@ -10,56 +14,39 @@
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 3);
     node.update_endpoints(ListKind::Snapshot, vec![entry(1)]);
     assert!((0..10).all(|_| {
-        endpoints_attempted(&node.request(0).1)
+        send_request(&mut node, IDEMPOTENT)
             .iter()
-            .all(|s| *s == 1)
+            .all(|endpoint| *endpoint == 1)
     }));
-    node.update_endpoints(
-        ListKind::Delta,
-        vec![
-            entry(2),
-            EndpointEntry {
-                state: EndpointState::Draining,
-                ..entry(1)
-            },
-        ],
-    );
-    assert_eq!(endpoints_attempted(&node.request(0).1), [2]);
+    node.update_endpoints(ListKind::Delta, vec![entry(2), draining_entry(1)]);
+    assert_eq!(send_request(&mut node, IDEMPOTENT), [2]);
 }
 
 /// With `poll_endpoints`, the list is polled until a snapshot arrives, and not any more after that.
 #[test]
 fn failed_poll_is_retried_within_poll_interval() {
-    let polls = |actions: &[Action]| {
-        actions
-            .iter()
-            .filter(|a| matches!(a, Action::Subscribe { enabled: true }))
-            .count()
-    };
     let mut node = NodeSimulation::new(Settings {
         poll_endpoints: true,
         ..response_report_settings()
     });
     node.update_endpoints(ListKind::Cached, vec![entry(0)]);
     node.advance(ms(3000));
-    assert_eq!(polls(&node.actions), 1);
+    assert_eq!(count_polls(&node.actions), 1);
     for _ in 0..5 {
         let before = node.actions.len();
-        node.update_endpoints(ListKind::Failed, Vec::new());
+        node.fail_endpoint_list();
         node.advance(ms(6000)); // within the poll interval of 10 s
-        assert!(polls(&node.actions[before..]) >= 1);
-        assert!(
-            polls(&node.actions[before..]) <= 2,
-            "polls overload discovery"
-        );
+        let polls = count_polls(&node.actions[before..]);
+        assert!(polls >= 1);
+        assert!(polls <= 2, "polls overload discovery");
     }
     node.update_endpoints(ListKind::Snapshot, vec![entry(0)]);
     let before = node.actions.len();
     node.advance(ms(60_000));
     assert_eq!(
-        polls(&node.actions[before..]),
+        count_polls(&node.actions[before..]),
         0,
-        "a subscription needs no polls"
+        "an open watch needs no polls"
     );
 }
 
@@ -80,30 +67,24 @@
             node.advance(ms(interval / 2));
             node.update_endpoints(ListKind::Snapshot, vec![entry(0)]);
             node.advance(ms(1000)); // longer than the least time between two calls
-            let polls = |node: &NodeSimulation| {
-                node.actions
-                    .iter()
-                    .filter(|a| matches!(a, Action::Subscribe { enabled: true }))
-                    .count()
-            };
-            let before = polls(&node);
-            node.update_endpoints(ListKind::Failed, vec![]);
+            let before = count_polls(&node.actions);
+            node.fail_endpoint_list();
             assert_eq!(
-                polls(&node),
+                count_polls(&node.actions),
                 before + 1,
                 "within {interval} ms, seed {seed}"
             );
-            // One that breaks again and again is no reason to call without a pause.
+            // A watch that breaks repeatedly is reopened after a pause.
             node.update_endpoints(ListKind::Snapshot, vec![entry(0)]);
-            node.update_endpoints(ListKind::Failed, vec![]);
+            node.fail_endpoint_list();
             assert_eq!(
-                polls(&node),
+                count_polls(&node.actions),
                 before + 1,
                 "within {interval} ms, seed {seed}"
             );
             node.advance(ms(800));
             assert_eq!(
-                polls(&node),
+                count_polls(&node.actions),
                 before + 2,
                 "within {interval} ms, seed {seed}"
             );
--- a/crates/balancer/tests/decisions/hedging.rs
+++ b/crates/balancer/tests/decisions/hedging.rs
@@ -2,14 +2,21 @@
 
 use crate::support::play_requests;
 use ottertiller_balancer::{Action, Outcome};
+use ottertiller_balancer_simulation::fixtures::classes::{
+    IDEMPOTENT, KEYED_EVERYWHERE, NOT_IDEMPOTENT,
+};
 use ottertiller_balancer_simulation::fixtures::{ms, response_report_settings};
-use ottertiller_balancer_simulation::node::NodeSimulation;
+use ottertiller_balancer_simulation::node::{AttemptId, NodeSimulation};
 
 /// A response that never arrives must not take the whole time of its request. The idempotency of
 /// the class decides whether a second attempt follows.
 #[test]
 fn silent_attempt_is_followed_by_another_if_class_allows() {
-    for (class, further) in [(0, true), (1, false), (4, true)] {
+    for (class, may_follow) in [
+        (IDEMPOTENT, true),
+        (NOT_IDEMPOTENT, false),
+        (KEYED_EVERYWHERE, true),
+    ] {
         for parallel in [false, true] {
             let mut settings = response_report_settings();
             settings.limits.parallel_attempts = parallel;
@@ -20,11 +27,11 @@
             let attempts = node
                 .actions
                 .iter()
-                .filter(|a| matches!(a, Action::StartAttempt { id: i, .. } if *i == id))
+                .filter(|action| matches!(action, Action::StartAttempt { id: attempted, .. } if *attempted == id))
                 .count();
             assert_eq!(
                 attempts > 1,
-                further,
+                may_follow,
                 "class {class}, parallel {parallel}: {attempts} attempts"
             );
         }
@@ -35,17 +42,25 @@
 /// attempt is cancelled only when the next one would otherwise come too late.
 #[test]
 fn single_attempt_is_cancelled_only_in_time_for_next() {
-    for class in [0, 4] {
+    for class in [IDEMPOTENT, KEYED_EVERYWHERE] {
         let mut settings = response_report_settings();
         settings.limits.parallel_attempts = false;
         let mut node = NodeSimulation::with_endpoints(settings, 6);
         // Responses take 30 ms, and nearly all would within 120.
         play_requests(&mut node, 300, |_| Outcome::Served);
         let (id, _) = node.request(class);
-        // A slow response is still waited for; retries of class 4 are deduplicated for 300 ms only.
+        // The attempt still waits for a slow response; keyed requests are deduplicated for 300 ms.
         node.advance(ms(250));
-        assert_eq!(node.in_flight(), [(id, 0)], "class {class}");
+        assert_eq!(
+            node.attempts_in_flight(),
+            [AttemptId::first(id)],
+            "class {class}"
+        );
         node.advance(ms(50));
-        assert_eq!(node.in_flight(), [(id, 1)], "class {class}");
+        assert_eq!(
+            node.attempts_in_flight(),
+            [AttemptId::new(id, 1)],
+            "class {class}"
+        );
     }
 }
--- a/crates/balancer/tests/decisions/join_up_to.rs
+++ b/crates/balancer/tests/decisions/join_up_to.rs
@@ -1,18 +1,18 @@
 //! Join-Up-To(m): which endpoint a request is sent to.
 
-use crate::support::{endpoints_attempted, serve_one};
+use crate::support::{AttemptCounts, send_request, serve_one};
 use ottertiller_balancer::{ListKind, Outcome};
+use ottertiller_balancer_simulation::actions::endpoints_attempted;
+use ottertiller_balancer_simulation::fixtures::classes::{IDEMPOTENT, NOT_IDEMPOTENT};
 use ottertiller_balancer_simulation::fixtures::{entry, ms, response_report_settings};
-use ottertiller_balancer_simulation::node::NodeSimulation;
-use std::collections::BTreeMap;
+use ottertiller_balancer_simulation::node::{AttemptId, NodeSimulation};
 
 #[test]
 fn every_endpoint_gets_one_request_before_any_gets_two() {
     for seed in 0..20 {
-        let mut node = NodeSimulation::with_seed(response_report_settings(), seed);
-        node.update_endpoints(ListKind::Snapshot, (0..5).map(entry).collect());
+        let mut node = NodeSimulation::with_seed_and_endpoints(response_report_settings(), seed, 5);
         let mut used: Vec<u64> = (0..5)
-            .flat_map(|_| endpoints_attempted(&node.request(0).1))
+            .flat_map(|_| send_request(&mut node, IDEMPOTENT))
             .collect();
         used.sort();
         assert_eq!(used, [0, 1, 2, 3, 4]);
@@ -21,18 +21,12 @@
 
 #[test]
 fn ties_are_broken_at_random() {
-    let first: BTreeMap<u64, u32> = (0..200).fold(BTreeMap::new(), |mut seen, seed| {
-        let mut node = NodeSimulation::with_seed(response_report_settings(), seed);
-        node.update_endpoints(ListKind::Snapshot, (0..4).map(entry).collect());
-        *seen
-            .entry(endpoints_attempted(&node.request(0).1)[0])
-            .or_default() += 1;
-        seen
-    });
-    assert!(
-        first.len() == 4 && first.values().all(|n| (25..=80).contains(n)),
-        "{first:?}"
-    );
+    let mut first = AttemptCounts::default();
+    for seed in 0..200 {
+        let mut node = NodeSimulation::with_seed_and_endpoints(response_report_settings(), seed, 4);
+        first.add(send_request(&mut node, IDEMPOTENT)[0]);
+    }
+    assert!(first.are_all_within(4, 25..=80), "{first:?}");
 }
 
 #[test]
@@ -42,8 +36,8 @@
         serve_one(&mut node, 1.0);
     }
     // All are at the cap now, so the choice is random; only the one that reports idle is below it.
-    let (id, actions) = node.request(0);
-    node.end_attempt(id, 0, Outcome::Served, Some(0.0));
+    let (id, actions) = node.request(IDEMPOTENT);
+    node.end_attempt(AttemptId::first(id), Outcome::Served, Some(0.0));
     for _ in 0..3 {
         assert_eq!(
             vec![serve_one(&mut node, 1.0)],
@@ -65,60 +59,57 @@
         .iter()
         .flat_map(|outcome| [(*outcome, None), (*outcome, Some(0.0))]);
     for ((outcome, report), seed) in cases.flat_map(|case| (0..20).map(move |seed| (case, seed))) {
-        let mut node = NodeSimulation::with_seed(response_report_settings(), seed);
-        node.update_endpoints(ListKind::Snapshot, (0..2).map(entry).collect());
-        let (id, actions) = node.request(1);
+        let mut node = NodeSimulation::with_seed_and_endpoints(response_report_settings(), seed, 2);
+        let (id, actions) = node.request(NOT_IDEMPOTENT);
         let first = endpoints_attempted(&actions);
-        node.end_attempt(id, 0, outcome, report);
-        if node.unanswered().is_empty() {
+        node.end_attempt(AttemptId::first(id), outcome, report);
+        if node.unfinished_requests().is_empty() {
             // The other endpoint has the lower estimate now.
             assert_ne!(
-                endpoints_attempted(&node.request(1).1),
+                send_request(&mut node, NOT_IDEMPOTENT),
                 first,
                 "{outcome:?} {report:?}"
             );
         } else {
             assert!(
-                node.in_flight()
+                node.attempts_in_flight()
                     .iter()
-                    .all(|(id, i)| node.endpoint_of(*id, *i).0 != first[0]),
+                    .all(|attempt| node.endpoint_of(*attempt).0 != first[0]),
                 "{outcome:?}"
             );
         }
     }
 }
 
+/// Crowded endpoints are left out.
 #[test]
 fn choice_is_random_with_all_estimates_at_cap() {
-    let mut used = BTreeMap::new();
+    let mut used = AttemptCounts::default();
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
     for _ in 0..200 {
-        *used.entry(serve_one(&mut node, 3.0)).or_insert(0) += 1;
+        used.add(serve_one(&mut node, 3.0));
     }
-    assert!(
-        used.len() == 4 && used.values().all(|n| (25..=80).contains(n)),
-        "{used:?}"
-    );
+    assert!(used.are_all_within(4, 25..=80), "{used:?}");
 }
 
 /// Attempts of the node itself that are still in flight count, whatever a late load report says.
 #[test]
 fn late_idle_report_does_not_discount_own_attempts() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 2);
-    let (held, actions) = node.request(0);
+    let (blocker, actions) = node.request(IDEMPOTENT);
     let busy = endpoints_attempted(&actions)[0];
-    let (other, _) = node.request(0);
-    node.end_attempt(other, 0, Outcome::Served, Some(1.0));
-    // A late report of the busy endpoint says idle while `held` is still in flight.
+    let (other, _) = node.request(IDEMPOTENT);
+    node.end_attempt(AttemptId::first(other), Outcome::Served, Some(1.0));
+    // A late report of the busy endpoint says idle while that attempt is still in flight.
     for _ in 0..50 {
-        let (id, actions) = node.request(0);
+        let (id, actions) = node.request(IDEMPOTENT);
         let to = endpoints_attempted(&actions)[0];
-        node.end_attempt(id, 0, Outcome::Served, Some(0.0));
-        assert!(to != busy || !node.is_answered(held));
+        node.end_attempt(AttemptId::first(id), Outcome::Served, Some(0.0));
+        assert!(to != busy || !node.is_finished(blocker));
     }
-    assert_eq!(node.in_flight().len(), 1);
+    assert_eq!(node.attempts_in_flight().len(), 1);
     assert_ne!(
-        endpoints_attempted(&node.request(0).1),
+        send_request(&mut node, IDEMPOTENT),
         [busy],
         "the idle endpoint has the lower estimate"
     );
@@ -132,14 +123,14 @@
     for _ in 0..60 {
         serve_one(&mut node, 1.0);
     }
-    let mut first = 0;
+    let mut joined_at_once = 0;
     for number in 100..140 {
         node.update_endpoints(ListKind::Delta, vec![entry(number)]);
-        first += usize::from(serve_one(&mut node, 1.0) == number);
+        joined_at_once += usize::from(serve_one(&mut node, 1.0) == number);
     }
     assert!(
-        first < 20,
-        "{first} of 40 new endpoints were joined at once"
+        joined_at_once < 20,
+        "{joined_at_once} of 40 new endpoints were joined at once"
     );
 }
 
@@ -151,21 +142,19 @@
     settings.limits.max_attempts = 1;
     let mut node = NodeSimulation::with_endpoints(settings, 2);
     for _ in 0..40 {
-        let ids = [node.request(1).0, node.request(1).0, node.request(1).0];
+        let ids = [0, 1, 2].map(|_| node.request(NOT_IDEMPOTENT).0);
         node.advance(ms(20));
-        for id in ids
-            .into_iter()
-            .filter(|id| node.in_flight().contains(&(*id, 0)))
-            .collect::<Vec<_>>()
-        {
-            node.end_attempt(id, 0, Outcome::Served, None);
+        for attempt in ids.map(AttemptId::first) {
+            if node.attempts_in_flight().contains(&attempt) {
+                node.end_attempt(attempt, Outcome::Served, None);
+            }
         }
     }
     // One endpoint has an attempt in flight, the other is free.
-    let (blocker, actions) = node.request(1);
+    let (blocker, actions) = node.request(NOT_IDEMPOTENT);
     let busy = endpoints_attempted(&actions)[0];
     for _ in 0..60 {
-        let (id, actions) = node.request(1);
+        let (id, actions) = node.request(NOT_IDEMPOTENT);
         if endpoints_attempted(&actions).is_empty() {
             continue;
         }
@@ -175,7 +164,7 @@
             "the free endpoint is open or none is"
         );
         node.advance(ms(1));
-        node.end_attempt(id, 0, Outcome::Rejected, None);
+        node.end_attempt(AttemptId::first(id), Outcome::Rejected, None);
     }
-    assert!(!node.is_answered(blocker));
+    assert!(!node.is_finished(blocker));
 }
--- a/crates/balancer/tests/decisions/late_attempts.rs
+++ b/crates/balancer/tests/decisions/late_attempts.rs
@@ -1,11 +1,30 @@
 //! Load shedding after late attempts.
 
-use crate::support::{is_shed, serve_one};
+use crate::support::serve_one;
 use ottertiller_balancer::{Action, Outcome, RequestId, Settings};
+use ottertiller_balancer_simulation::actions::is_shed;
+use ottertiller_balancer_simulation::fixtures::classes::{IDEMPOTENT, NOT_IDEMPOTENT};
 use ottertiller_balancer_simulation::fixtures::{ms, response_report_settings};
-use ottertiller_balancer_simulation::node::NodeSimulation;
+use ottertiller_balancer_simulation::node::{AttemptId, NodeSimulation, RequestOptions};
 
-/// Plays requests one after another, each with what its attempts meet; counts those that were shed.
+/// Returns settings by which a request has one attempt in flight at a time.
+fn sequential_attempt_settings() -> Settings {
+    let mut settings = response_report_settings();
+    settings.limits.parallel_attempts = false;
+    settings
+}
+
+/// Ends the attempts in flight of some requests as served.
+fn end_attempts_of(node: &mut NodeSimulation, is_served: impl Fn(RequestId) -> bool) {
+    for attempt in node.attempts_in_flight() {
+        if is_served(attempt.request) {
+            node.end_attempt(attempt, Outcome::Served, Some(1.0));
+        }
+    }
+}
+
+/// Plays requests one after another, and counts those that were shed. `play_one` sends one request,
+/// ends its attempts, and returns the actions that followed the request.
 fn count_shed(
     node: &mut NodeSimulation,
     requests: usize,
@@ -21,23 +40,20 @@
 /// endpoints.
 #[test]
 fn attempt_cancelled_for_next_one_counts_as_late() {
-    let mut settings = response_report_settings();
-    settings.limits.parallel_attempts = false;
+    let settings = sequential_attempt_settings();
     let shed_of_300 = |cancelled: usize| {
         let mut node = NodeSimulation::with_endpoints(settings.clone(), 12);
         for _ in 0..100 {
             serve_one(&mut node, 1.0);
         }
         count_shed(&mut node, 300, |node, n| {
-            let (id, actions) = node.request(0);
+            let (id, actions) = node.request(IDEMPOTENT);
             if n % 3 < cancelled && !is_shed(&actions) {
-                while node.in_flight() == [(id, 0)] {
+                while node.attempts_in_flight() == [AttemptId::first(id)] {
                     node.advance(ms(1));
                 }
             }
-            for (id, attempt) in node.in_flight() {
-                node.end_attempt(id, attempt, Outcome::Served, Some(1.0));
-            }
+            node.end_all_attempts(Outcome::Served, Some(1.0));
             actions
         })
     };
@@ -49,26 +65,26 @@
 /// same.
 #[test]
 fn lateness_is_counted_per_class() {
-    let mut settings = response_report_settings();
-    settings.limits.parallel_attempts = false;
-    (
-        settings.classes[0].latency_objective,
-        settings.classes[0].deadline,
-    ) = (ms(100), ms(100));
-    (
-        settings.classes[1].latency_objective,
-        settings.classes[1].deadline,
-    ) = (ms(4000), ms(4000));
+    let mut settings = sequential_attempt_settings();
+    for (class, time) in [(IDEMPOTENT, ms(100)), (NOT_IDEMPOTENT, ms(4000))] {
+        settings.classes[class].latency_objective = time;
+        settings.classes[class].deadline = time;
+    }
     let mut node = NodeSimulation::with_endpoints(settings, 12);
     let shed = count_shed(&mut node, 400, |node, _| {
-        let (slow, _) = node.request_with(1, 0, ms(4000), None);
+        let (slow, _) = node.request_with(RequestOptions {
+            class: NOT_IDEMPOTENT,
+            remaining: ms(4000),
+            ..RequestOptions::default()
+        });
         node.advance(ms(1000));
-        for (id, attempt) in node.in_flight().into_iter().filter(|(id, _)| *id == slow) {
-            node.end_attempt(id, attempt, Outcome::Served, Some(1.0));
-        }
-        let (quick, actions) = node.request_with(0, 0, ms(100), None);
-        node.advance(ms(100)); // no answer comes
-        assert!(node.is_answered(quick));
+        end_attempts_of(node, |id| id == slow);
+        let (quick, actions) = node.request_with(RequestOptions {
+            remaining: ms(100),
+            ..RequestOptions::default()
+        });
+        node.advance(ms(100)); // no response arrives
+        assert!(node.is_finished(quick));
         actions
     });
     assert!(shed > 200, "{shed} of 400");
@@ -78,8 +94,7 @@
 /// others beside it is limited by its crowding levels already, and sheds little.
 #[test]
 fn late_attempts_at_endpoint_crowded_by_node_cause_shedding() {
-    let mut settings = response_report_settings();
-    settings.limits.parallel_attempts = false;
+    let settings = sequential_attempt_settings();
     let shed = |nodes: u32| {
         let mut node = NodeSimulation::with_endpoints(
             Settings {
@@ -89,44 +104,34 @@
             1,
         );
         count_shed(&mut node, 400, |node, n| {
-            let (first, actions) = node.request(1);
-            node.request(1);
+            let (first, actions) = node.request(NOT_IDEMPOTENT);
+            node.request(NOT_IDEMPOTENT);
             node.advance(ms(50));
-            let answer = |node: &mut NodeSimulation, ready: &dyn Fn(RequestId) -> bool| {
-                for (id, attempt) in node.in_flight().into_iter().filter(|(id, _)| ready(*id)) {
-                    node.end_attempt(id, attempt, Outcome::Served, Some(1.0));
-                }
-            };
-            // Alone, so few late ones would shed nothing.
-            answer(node, &|id| id == first && n % 5 > 0);
+            // By themselves, so few late attempts would shed nothing.
+            end_attempts_of(node, |id| id == first && n % 5 > 0);
             node.advance(ms(340));
-            answer(node, &|_| true);
+            end_attempts_of(node, |_| true);
             actions
         })
     };
     assert!(shed(300) > 50, "{} of 400", shed(300));
-    // A node without others beside it has crowded the endpoint itself, and what it sends there is
-    // limited already.
     assert!(shed(1) < 10, "{} of 400", shed(1));
 }
 
 /// If all nodes sent all requests of the highest priority, an overload would never end.
 #[test]
 fn high_priority_requests_are_also_shed_in_overload() {
-    let mut settings = response_report_settings();
-    settings.limits.parallel_attempts = false;
-    (
-        settings.classes[0].priority_weight,
-        settings.classes[1].priority_weight,
-    ) = (12.0, 1.0);
+    let mut settings = sequential_attempt_settings();
+    settings.classes[IDEMPOTENT].priority_weight = 12.0;
+    settings.classes[NOT_IDEMPOTENT].priority_weight = 1.0;
     let mut node = NodeSimulation::with_endpoints(settings, 4);
     let play_late = |node: &mut NodeSimulation, n: usize| {
-        let (_, actions) = node.request(usize::from(n % 4 > 0));
+        let is_high = n % 4 == 0;
+        let class = if is_high { IDEMPOTENT } else { NOT_IDEMPOTENT };
+        let (_, actions) = node.request(class);
         node.advance(ms(390));
-        for (id, attempt) in node.in_flight() {
-            node.end_attempt(id, attempt, Outcome::Served, Some(3.0));
-        }
-        if n % 4 == 0 { actions } else { Vec::new() }
+        node.end_all_attempts(Outcome::Served, Some(3.0));
+        if is_high { actions } else { Vec::new() }
     };
     count_shed(&mut node, 400, play_late);
     let shed = count_shed(&mut node, 800, play_late);
--- a/crates/balancer/tests/decisions/late_events.rs
+++ b/crates/balancer/tests/decisions/late_events.rs
@@ -1,22 +1,23 @@
 //! Events that arrive after what they concern has ended.
 
-use crate::support::health_checks;
 use ottertiller_balancer::{
-    Action, AttemptEnd, EndpointId, Event, HealthCheckEnd, ListKind, Outcome, Timer,
+    AttemptEnd, EndpointId, Event, HealthCheckEnd, ListKind, Outcome, Timer,
 };
+use ottertiller_balancer_simulation::actions::{count_attempts, count_health_checks};
+use ottertiller_balancer_simulation::fixtures::classes::{IDEMPOTENT, NOT_IDEMPOTENT};
 use ottertiller_balancer_simulation::fixtures::{
     entry, health_check_settings, ms, response_report_settings,
 };
-use ottertiller_balancer_simulation::node::NodeSimulation;
+use ottertiller_balancer_simulation::node::{AttemptId, NodeSimulation};
 
 #[test]
 fn late_events_have_no_effect() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 2);
-    let (id, _) = node.request(1);
+    let (id, _) = node.request(NOT_IDEMPOTENT);
     node.disconnect_client(id);
     assert!(node.deliver(Event::ClientDisconnected { id }).is_empty());
     node.advance(ms(1));
-    assert!(node.in_flight().is_empty());
+    assert!(node.attempts_in_flight().is_empty());
     assert!(node.deliver(Event::Timer(Timer::Request(id))).is_empty());
     let endpoint = EndpointId(77);
     let end = HealthCheckEnd {
@@ -50,31 +51,33 @@
 /// an attempt in flight.
 #[test]
 fn no_attempt_starts_after_client_disconnect() {
-    let count_attempts = |actions: &[Action]| {
-        actions
-            .iter()
-            .filter(|a| matches!(a, Action::StartAttempt { .. }))
-            .count()
-    };
     // Queued without an endpoint, which is listed just then.
     let mut node = NodeSimulation::new(response_report_settings());
     node.update_endpoints(ListKind::Snapshot, vec![]);
-    let (queued, _) = node.request(0);
+    let (queued, _) = node.request(IDEMPOTENT);
     node.disconnect_client(queued);
     let before = node.actions.len();
     node.update_endpoints(ListKind::Snapshot, (0..4).map(entry).collect());
     node.advance(ms(2000));
-    assert_eq!(count_attempts(&node.actions[before..]), 0, "queued");
+    assert_eq!(
+        count_attempts(&node.actions[before..]),
+        0,
+        "queued without an endpoint"
+    );
 
-    // Held for health checks, which find an idle endpoint just then.
+    // Queued for health checks, which find an idle endpoint just then.
     let mut node = NodeSimulation::with_endpoints(health_check_settings(), 4);
-    let (held, actions) = node.request(0);
-    assert!(health_checks(&actions) > 0 && count_attempts(&actions) == 0);
-    node.disconnect_client(held);
+    let (checked, actions) = node.request(IDEMPOTENT);
+    assert!(count_health_checks(&actions) > 0 && count_attempts(&actions) == 0);
+    node.disconnect_client(checked);
     let before = node.actions.len();
-    node.answer_health_checks(&[0, 1, 2, 3]);
+    node.end_health_checks(&[0, 1, 2, 3]);
     node.advance(ms(2000));
-    assert_eq!(count_attempts(&node.actions[before..]), 0, "held");
+    assert_eq!(
+        count_attempts(&node.actions[before..]),
+        0,
+        "queued for health checks"
+    );
 
     // With an attempt in flight that has no response, or ends so that a retry may follow: never
     // sent, or failed.
@@ -88,12 +91,12 @@
             let mut settings = response_report_settings();
             settings.limits.cancel = cancel;
             let mut node = NodeSimulation::with_endpoints(settings, 4);
-            let (waiting, actions) = node.request(0);
+            let (waiting, actions) = node.request(IDEMPOTENT);
             assert_eq!(count_attempts(&actions), 1);
             node.disconnect_client(waiting);
             let before = node.actions.len();
             if let Some(outcome) = outcome {
-                node.end_attempt(waiting, 0, outcome, None);
+                node.end_attempt(AttemptId::first(waiting), outcome, None);
             }
             node.advance(ms(2000));
             assert_eq!(count_attempts(&node.actions[before..]), 0, "{outcome:?}");
--- a/crates/balancer/tests/decisions/main.rs
+++ b/crates/balancer/tests/decisions/main.rs
@@ -1,5 +1,5 @@
-//! Small tests of single decisions, one module for each concern. The simulation checks the rules
-//! that a node must keep.
+//! Tests of single decisions, one module for each concern. The simulation checks the invariants of
+//! a node meanwhile.
 
 mod admission;
 mod client_retry;
--- a/crates/balancer/tests/decisions/outlier.rs
+++ b/crates/balancer/tests/decisions/outlier.rs
@@ -1,57 +1,49 @@
-//! Outlier ejection: failing endpoints are left out, tried again, and never all ejected.
+//! Outlier ejection: failing endpoints are ejected, probed, and never all ejected.
 
-use crate::support::{endpoints_attempted, play_requests};
-use ottertiller_balancer::Outcome;
+use crate::support::{AttemptCounts, outcome_at, play_requests, send_request};
+use ottertiller_balancer::{EndpointId, Outcome};
+use ottertiller_balancer_simulation::actions::count_attempts_at;
+use ottertiller_balancer_simulation::fixtures::classes::NOT_IDEMPOTENT;
 use ottertiller_balancer_simulation::fixtures::{ms, response_report_settings};
 use ottertiller_balancer_simulation::node::NodeSimulation;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 
 #[test]
 fn endpoint_that_fails_fast_is_ejected() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
-    let used = play_requests(&mut node, 400, |endpoint| {
-        if endpoint == 0 {
-            Outcome::Error
-        } else {
-            Outcome::Served
-        }
-    });
-    assert!(used[&0] < 20, "{used:?}");
+    let used = play_requests(&mut node, 400, outcome_at(0..1, Outcome::Error));
+    assert!((1..20).contains(&used.at(0)), "{used:?}");
 }
 
 #[test]
 fn ejected_endpoint_returns_after_probe_request() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
-    play_requests(&mut node, 100, |endpoint| {
-        if endpoint == 0 {
-            Outcome::ConnectFailed
-        } else {
-            Outcome::Served
-        }
-    });
+    play_requests(&mut node, 100, outcome_at(0..1, Outcome::ConnectFailed));
     node.advance(ms(20_000));
     let used = play_requests(&mut node, 100, |_| Outcome::Served);
-    assert!(used[&0] > 10, "{used:?}");
+    assert!(used.at(0) > 10, "{used:?}");
 }
 
 #[test]
 fn failures_of_all_endpoints_do_not_eject_them_all() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 6);
     play_requests(&mut node, 200, |_| Outcome::Error);
-    // Errors reset no estimate, so whoever serves first is the lowest: only requests at once meet
-    // more.
+    // Errors lower no estimate, so the first endpoint that serves has the lowest one. Only requests
+    // sent at the same time reach more endpoints.
     for _ in 0..10 {
-        (0..6).for_each(|_| drop(node.request(1)));
-        node.advance(ms(30));
-        for (id, attempt) in node.in_flight() {
-            node.end_attempt(id, attempt, Outcome::Served, Some(0.0));
+        for _ in 0..6 {
+            node.request(NOT_IDEMPOTENT);
         }
+        node.advance(ms(30));
+        node.end_all_attempts(Outcome::Served, Some(0.0));
+    }
+    for _ in 0..6 {
+        node.request(NOT_IDEMPOTENT);
     }
-    (0..6).for_each(|_| drop(node.request(1)));
     let used: BTreeSet<_> = node
-        .in_flight()
+        .attempts_in_flight()
         .iter()
-        .map(|(id, attempt)| node.endpoint_of(*id, *attempt).0)
+        .map(|attempt| node.endpoint_of(*attempt).0)
         .collect();
     assert!(used.len() >= 3, "{used:?}");
 }
@@ -59,22 +51,19 @@
 #[test]
 fn endpoint_that_never_responds_is_ejected() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
-    let mut used = BTreeMap::new();
+    let mut used = AttemptCounts::default();
     for _ in 0..200 {
-        node.request(1);
+        node.request(NOT_IDEMPOTENT);
         node.advance(ms(30));
-        for (id, attempt) in node.in_flight() {
-            let endpoint = node.endpoint_of(id, attempt).0;
+        for attempt in node.attempts_in_flight() {
+            let endpoint = node.endpoint_of(attempt).0;
             if endpoint != 0 {
-                *used.entry(endpoint).or_insert(0) += 1;
-                node.end_attempt(id, attempt, Outcome::Served, Some(0.0));
+                used.add(endpoint);
+                node.end_attempt(attempt, Outcome::Served, Some(0.0));
             }
         }
     }
-    let silent = endpoints_attempted(&node.actions)
-        .iter()
-        .filter(|s| **s == 0)
-        .count();
+    let silent = count_attempts_at(&node.actions, EndpointId(0));
     assert!(
         silent < 20,
         "{silent} of 200 attempts at the silent endpoint, {used:?}"
@@ -85,15 +74,13 @@
 fn long_pause_of_node_ejects_no_endpoint() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 6);
     play_requests(&mut node, 100, |_| Outcome::Served);
-    let ids: Vec<_> = (0..30).map(|_| node.request(1).0).collect();
-    // The node stands still long past every objective, then finds all its time-outs at once.
+    let ids: Vec<_> = (0..30).map(|_| node.request(NOT_IDEMPOTENT).0).collect();
+    // The node pauses past every objective, and then all its attempts time out at once.
     node.now += ms(900);
-    for (id, attempt) in node.in_flight() {
-        node.end_attempt(id, attempt, Outcome::TimedOut, None);
-    }
-    assert!(ids.iter().all(|id| node.is_answered(*id)));
+    node.end_all_attempts(Outcome::TimedOut, None);
+    assert!(ids.iter().all(|id| node.is_finished(*id)));
     let mut used: Vec<u64> = (0..6)
-        .flat_map(|_| endpoints_attempted(&node.request(1).1))
+        .flat_map(|_| send_request(&mut node, NOT_IDEMPOTENT))
         .collect();
     used.sort();
     used.dedup();
@@ -105,36 +92,19 @@
 #[test]
 fn probes_of_ejected_endpoints_take_few_requests() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 8);
-    let unreachable = |endpoint: u64| {
-        if endpoint < 3 {
-            Outcome::ConnectFailed
-        } else {
-            Outcome::Served
-        }
-    };
-    play_requests(&mut node, 100, unreachable);
+    let unreachable = outcome_at(0..3, Outcome::ConnectFailed);
+    play_requests(&mut node, 100, unreachable.clone());
     let used = play_requests(&mut node, 400, unreachable);
-    let trials: usize = (0..3)
-        .map(|endpoint| used.get(&endpoint).copied().unwrap_or(0))
-        .sum();
-    assert!((1..60).contains(&trials), "{used:?}");
+    let probes = used.at_any(0..3);
+    assert!((1..60).contains(&probes), "{used:?}");
 }
 
 /// No minimum number of endpoints stays in use when the node reaches only a few.
 #[test]
 fn unreachable_majority_of_endpoints_is_ejected() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 10);
-    let reach = |endpoint: u64| {
-        if endpoint < 2 {
-            Outcome::Served
-        } else {
-            Outcome::ConnectFailed
-        }
-    };
-    play_requests(&mut node, 200, reach);
-    let used = play_requests(&mut node, 200, reach);
-    let reached: usize = (0..2)
-        .map(|endpoint| used.get(&endpoint).copied().unwrap_or(0))
-        .sum();
-    assert!(reached > 150, "{used:?}");
+    let unreachable = outcome_at(2..10, Outcome::ConnectFailed);
+    play_requests(&mut node, 200, unreachable.clone());
+    let used = play_requests(&mut node, 200, unreachable);
+    assert!(used.at_any(0..2) > 150, "{used:?}");
 }
--- a/crates/balancer/tests/decisions/retry.rs
+++ b/crates/balancer/tests/decisions/retry.rs
@@ -1,32 +1,33 @@
 //! Retries: where they go, and their budget.
 
-use crate::support::endpoints_attempted;
 use ottertiller_balancer::Outcome;
+use ottertiller_balancer_simulation::actions::{count_attempts, endpoints_attempted};
+use ottertiller_balancer_simulation::fixtures::classes::IDEMPOTENT;
 use ottertiller_balancer_simulation::fixtures::{ms, response_report_settings};
-use ottertiller_balancer_simulation::node::NodeSimulation;
+use ottertiller_balancer_simulation::node::{AttemptId, NodeSimulation};
 
 #[test]
 fn idempotent_request_is_retried_at_another_endpoint() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 3);
-    let (id, actions) = node.request(0);
-    let again = node.end_attempt(id, 0, Outcome::Error, None);
+    let (id, actions) = node.request(IDEMPOTENT);
+    let again = node.end_attempt(AttemptId::first(id), Outcome::Error, None);
     assert_eq!(endpoints_attempted(&again).len(), 1);
     assert_ne!(endpoints_attempted(&again), endpoints_attempted(&actions));
 }
 
+/// The budget is two fifths of the requests, and a burst of ten.
 #[test]
 fn retries_stay_within_their_budget() {
+    const REQUESTS: usize = 500;
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 9);
-    for _ in 0..500 {
-        node.request(0);
+    for _ in 0..REQUESTS {
+        node.request(IDEMPOTENT);
         node.advance(ms(5));
-        for (id, attempt) in node.in_flight() {
-            node.end_attempt(id, attempt, Outcome::Error, None);
-        }
+        node.end_all_attempts(Outcome::Error, None);
     }
-    let sends = endpoints_attempted(&node.actions).len();
+    let attempts = count_attempts(&node.actions);
     assert!(
-        sends <= 500 + 500 * 2 / 5 + 10,
-        "{sends} sends for 500 requests"
+        attempts <= REQUESTS + REQUESTS * 2 / 5 + 10,
+        "{attempts} attempts for {REQUESTS} requests"
     );
 }
--- a/crates/balancer/tests/decisions/slow_start.rs
+++ b/crates/balancer/tests/decisions/slow_start.rs
@@ -1,13 +1,17 @@
 //! Slow start: endpoints that have just started.
 
-use crate::support::{endpoints_attempted, play_requests};
-use ottertiller_balancer::{EndpointEntry, ListKind, Outcome, Rules, Settings};
-use ottertiller_balancer_simulation::fixtures::{entry, ms, response_report_settings};
+use crate::support::play_requests;
+use ottertiller_balancer::{EndpointId, ListKind, Outcome, Rules, Settings};
+use ottertiller_balancer_simulation::actions::count_attempts_at;
+use ottertiller_balancer_simulation::fixtures::classes::IDEMPOTENT;
+use ottertiller_balancer_simulation::fixtures::{
+    entry, ms, response_report_settings, started_entry,
+};
 use ottertiller_balancer_simulation::node::NodeSimulation;
 use std::time::Duration;
 
-/// Settings whose slow start lasts ten seconds, for nodes that send 33 requests a second.
-fn ten_seconds_of_slow_start() -> Settings {
+/// Returns settings with a slow start of ten seconds, for nodes that send 33 requests a second.
+fn ten_second_slow_start_settings() -> Settings {
     let mut settings = response_report_settings();
     settings.rules = Rules {
         initial_capacity: 0.2,
@@ -23,30 +27,17 @@
 fn slow_start_endpoint_gets_at_most_its_share() {
     // Ten endpoints carry 100 requests a second of three nodes, so each has a capacity of at least
     // 10 a second.
-    let mut node = NodeSimulation::with_endpoints(ten_seconds_of_slow_start(), 10);
+    let mut node = NodeSimulation::with_endpoints(ten_second_slow_start_settings(), 10);
     let mut sent = Vec::new();
     for step in 0..1500u64 {
         if step == 700 {
-            let started = Some(node.now);
-            node.update_endpoints(
-                ListKind::Delta,
-                vec![EndpointEntry {
-                    started,
-                    ..entry(10)
-                }],
-            );
+            node.update_endpoints(ListKind::Delta, vec![started_entry(10, node.now)]);
         }
-        let (_, actions) = node.request(0);
-        sent.extend(
-            endpoints_attempted(&actions)
-                .iter()
-                .filter(|s| **s == 10)
-                .map(|_| node.now),
-        );
+        let (_, actions) = node.request(IDEMPOTENT);
+        let attempts = count_attempts_at(&actions, EndpointId(10));
+        sent.extend(std::iter::repeat_n(node.now, attempts));
         node.advance(ms(30));
-        for (id, attempt) in node.in_flight() {
-            node.end_attempt(id, attempt, Outcome::Served, Some(0.0));
-        }
+        node.end_all_attempts(Outcome::Served, Some(0.0));
     }
     assert!(!sent.is_empty(), "an endpoint in slow start is used");
     // This node sends 33 a second, 3.3 to each of the others; its third of 4 x 0.2 x 10 a second
@@ -66,34 +57,23 @@
     };
     let mut node = NodeSimulation::with_endpoints(settings, 5);
     play_requests(&mut node, 300, |_| Outcome::Served);
-    let started = Some(node.now);
-    node.update_endpoints(
-        ListKind::Snapshot,
-        (0..5)
-            .map(|n| EndpointEntry {
-                started,
-                ..entry(n)
-            })
-            .collect(),
-    );
+    let restarted = (0..5).map(|number| started_entry(number, node.now));
+    node.update_endpoints(ListKind::Snapshot, restarted.collect());
     let used = play_requests(&mut node, 100, |_| Outcome::Served);
     // They have three tenths of their capacity.
-    assert!(used.values().sum::<usize>() > 20, "{used:?}");
+    assert!(used.total() > 20, "{used:?}");
 }
 
-/// How many of 50 requests, in 1.5 s, go to the endpoint.
+/// Plays 50 requests, within 1.5 s, and returns the attempts at an endpoint.
 fn requests_to(node: &mut NodeSimulation, endpoint: u64) -> usize {
-    play_requests(node, 50, |_| Outcome::Served)
-        .get(&endpoint)
-        .copied()
-        .unwrap_or_default()
+    play_requests(node, 50, |_| Outcome::Served).at(endpoint)
 }
 
 const HOUR: Duration = Duration::from_secs(3600);
 
-/// How an endpoint's start may be listed that has happened just now, after the wall clock was
+/// Start times as they may be listed for an endpoint that starts now, after the wall clock was
 /// stepped.
-const STEPPED: [fn(Duration) -> Duration; 3] = [
+const LISTED_STARTS: [fn(Duration) -> Duration; 3] = [
     |now| now.saturating_sub(ms(60_000)),
     |now| now.saturating_sub(ms(9_000)),
     |now| now + HOUR,
@@ -101,19 +81,19 @@
 
 #[test]
 fn new_or_restarted_endpoint_slow_starts_despite_clock_step() {
-    for listed_start in STEPPED {
+    for listed_start in LISTED_STARTS {
         for id in [10, 3] {
             for kind in [ListKind::Delta, ListKind::Snapshot] {
-                let mut node = NodeSimulation::with_endpoints(ten_seconds_of_slow_start(), 10);
+                let mut node = NodeSimulation::with_endpoints(ten_second_slow_start_settings(), 10);
                 play_requests(&mut node, 700, |_| Outcome::Served);
-                let started = Some(listed_start(node.now));
-                let entries = (0..=10).map(|n| EndpointEntry {
-                    started: if n == id { started } else { None },
-                    ..entry(n)
-                });
-                let entries = entries
-                    .filter(|e| kind == ListKind::Snapshot || e.id.0 == id)
-                    .collect();
+                let started = listed_start(node.now);
+                let changed = started_entry(id, started);
+                let entries = match kind {
+                    ListKind::Snapshot => (0..=10)
+                        .map(|number| if number == id { changed } else { entry(number) })
+                        .collect(),
+                    _ => vec![changed],
+                };
                 node.update_endpoints(kind, entries);
                 let burst = requests_to(&mut node, id);
                 assert!(
@@ -135,14 +115,11 @@
 /// is new, whatever start time is listed.
 #[test]
 fn endpoint_not_in_cached_list_slow_starts_despite_clock_step() {
-    for listed_start in STEPPED {
-        let mut node = NodeSimulation::new(ten_seconds_of_slow_start());
+    for listed_start in LISTED_STARTS {
+        let mut node = NodeSimulation::new(ten_second_slow_start_settings());
         node.update_endpoints(ListKind::Cached, (0..10).map(entry).collect());
-        let started = Some(listed_start(node.now));
-        let new = EndpointEntry {
-            started,
-            ..entry(10)
-        };
+        let started = listed_start(node.now);
+        let new = started_entry(10, started);
         node.update_endpoints(
             ListKind::Snapshot,
             (0..10).map(entry).chain([new]).collect(),
@@ -159,19 +136,13 @@
 /// Where the clocks agree, the capacity that an endpoint gained before it was listed counts.
 #[test]
 fn plausible_listed_start_time_is_used() {
-    let mut settings = ten_seconds_of_slow_start();
+    let mut settings = ten_second_slow_start_settings();
     settings.rules.initial_capacity = 0.5;
     let mut node = NodeSimulation::with_endpoints(settings, 10);
     play_requests(&mut node, 700, |_| Outcome::Served);
     let listed_late = ms(2_000);
-    let started = Some(node.now - listed_late);
-    node.update_endpoints(
-        ListKind::Delta,
-        vec![EndpointEntry {
-            started,
-            ..entry(10)
-        }],
-    );
+    let started = node.now - listed_late;
+    node.update_endpoints(ListKind::Delta, vec![started_entry(10, started)]);
     node.advance(ms(10_000) - listed_late);
     // Warm by now: it is sent requests without a permit.
     assert!(requests_to(&mut node, 10) >= 2);
--- a/crates/balancer/tests/decisions/subset.rs
+++ b/crates/balancer/tests/decisions/subset.rs
@@ -1,8 +1,8 @@
 //! Subsetting: how many of many endpoints a node uses.
 
 use crate::support::serve_one;
-use ottertiller_balancer::{ListKind, Settings};
-use ottertiller_balancer_simulation::fixtures::{entry, ms, response_report_settings};
+use ottertiller_balancer::Settings;
+use ottertiller_balancer_simulation::fixtures::{ms, response_report_settings};
 use ottertiller_balancer_simulation::node::NodeSimulation;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,21 +10,21 @@
 #[test]
 fn costly_connections_lead_to_small_and_balanced_subsets() {
     let mut settings = response_report_settings();
-    (settings.node_count, settings.cost_weights.connections) = (40, 0.1);
+    settings.node_count = 40;
+    settings.cost_weights.connections = 0.1;
     let mut nodes_of = BTreeMap::new();
-    for node_index in 0..40 {
-        let mut node = NodeSimulation::with_seed(
-            Settings {
-                node_index,
-                ..settings.clone()
-            },
-            node_index.into(),
-        );
-        node.update_endpoints(ListKind::Snapshot, (0..20).map(entry).collect());
+    for node_index in 0..settings.node_count {
+        let settings = Settings {
+            node_index,
+            ..settings.clone()
+        };
+        let seed = node_index.into();
+        let mut node = NodeSimulation::with_seed_and_endpoints(settings, seed, 20);
         let used: BTreeSet<u64> = (0..100).map(|_| serve_one(&mut node, 1.0)).collect();
         assert!((2..=5).contains(&used.len()), "{used:?}");
-        used.into_iter()
-            .for_each(|endpoint| *nodes_of.entry(endpoint).or_insert(0) += 1);
+        for endpoint in used {
+            *nodes_of.entry(endpoint).or_insert(0) += 1;
+        }
     }
     let (fewest, most) = (nodes_of.values().min(), nodes_of.values().max());
     assert!(nodes_of.len() == 20 && fewest == most, "{nodes_of:?}");
@@ -33,7 +33,7 @@
 /// Among dozens of endpoints, a quiet node would use each too seldom to learn which are slow.
 #[test]
 fn quiet_node_uses_only_endpoints_it_can_observe() {
-    let used = |pause: u64| {
+    let endpoints_used = |pause: u64| {
         let mut node = NodeSimulation::with_endpoints(response_report_settings(), 40);
         let mut used = BTreeSet::new();
         for step in 0..200 {
@@ -45,7 +45,7 @@
         }
         used.len()
     };
-    let (quiet, busy) = (used(400), used(20));
+    let (quiet, busy) = (endpoints_used(400), endpoints_used(20));
     assert!(
         (6..=10).contains(&quiet) && busy > 30,
         "{quiet} by a quiet node, {busy} by a busy one"
--- a/crates/balancer/tests/decisions/support.rs
+++ b/crates/balancer/tests/decisions/support.rs
@@ -1,67 +1,104 @@
-//! What the tests of decisions share: what is in a list of actions, and requests played one after
-//! another.
+//! Requests played one after another, and the endpoints that were used.
 
-use ottertiller_balancer::{Action, Outcome};
-use ottertiller_balancer_simulation::fixtures::ms;
-use ottertiller_balancer_simulation::node::NodeSimulation;
+use ottertiller_balancer::Outcome;
+use ottertiller_balancer_simulation::actions::endpoints_attempted;
+use ottertiller_balancer_simulation::fixtures::classes::{IDEMPOTENT, NOT_IDEMPOTENT};
+use ottertiller_balancer_simulation::node::{AttemptId, NodeSimulation};
 use std::collections::BTreeMap;
+use std::time::Duration;
 
-pub fn endpoints_attempted(actions: &[Action]) -> Vec<u64> {
-    let attempt = |action: &Action| match action {
-        Action::StartAttempt { endpoint, .. } => Some(endpoint.0),
-        _ => None,
-    };
-    actions.iter().filter_map(attempt).collect()
-}
+/// The time that [`serve_one`] takes.
+const SERVE_TIME: Duration = Duration::from_millis(20);
+/// The time that each request of [`play_requests`] takes.
+pub const PLAY_TIME: Duration = Duration::from_millis(30);
 
-pub fn health_checks(actions: &[Action]) -> usize {
-    actions
-        .iter()
-        .filter(|action| matches!(action, Action::HealthCheck { .. }))
-        .count()
-}
+/// The attempts at each endpoint.
+#[derive(Debug, Default)]
+pub struct AttemptCounts(BTreeMap<u64, usize>);
+
+impl AttemptCounts {
+    /// Counts an attempt at an endpoint.
+    pub fn add(&mut self, endpoint: u64) {
+        *self.0.entry(endpoint).or_insert(0) += 1;
+    }
+
+    /// Returns the number of attempts at an endpoint.
+    pub fn at(&self, endpoint: u64) -> usize {
+        self.0.get(&endpoint).copied().unwrap_or_default()
+    }
+
+    /// Returns the number of attempts at some endpoints.
+    pub fn at_any(&self, endpoints: impl IntoIterator<Item = u64>) -> usize {
+        endpoints
+            .into_iter()
+            .map(|endpoint| self.at(endpoint))
+            .sum()
+    }
 
-pub fn is_shed(actions: &[Action]) -> bool {
-    actions
-        .iter()
-        .any(|action| matches!(action, Action::Shed { .. }))
+    /// Returns the number of attempts at all endpoints.
+    pub fn total(&self) -> usize {
+        self.0.values().sum()
+    }
+
+    /// Returns whether all endpoints 0, 1, ... `endpoints - 1`, and no others, have a number of
+    /// attempts within this range.
+    pub fn are_all_within(&self, endpoints: usize, range: std::ops::RangeInclusive<usize>) -> bool {
+        self.0.len() == endpoints && self.0.values().all(|count| range.contains(count))
+    }
 }
 
-pub fn is_failed(actions: &[Action]) -> bool {
-    actions
-        .iter()
-        .any(|action| matches!(action, Action::Fail { .. }))
+/// Sends a request of a class, and returns the endpoints at which attempts start at once.
+pub fn send_request(node: &mut NodeSimulation, class: usize) -> Vec<u64> {
+    let (_, actions) = node.request(class);
+    endpoints_attempted(&actions)
 }
 
-/// Sends a request and has it served at once, with a report of that many requests in flight.
+/// Sends a request that is served at once, and returns its endpoint. `in_flight` is what the
+/// endpoint reports with its response.
 pub fn serve_one(node: &mut NodeSimulation, in_flight: f32) -> u64 {
-    let (id, actions) = node.request(0);
+    let (id, actions) = node.request(IDEMPOTENT);
     let attempted = endpoints_attempted(&actions);
     assert_eq!(
         attempted.len(),
         1,
-        "free endpoints are sent a request at once: {actions:?}"
+        "a request is sent to a free endpoint at once: {actions:?}"
     );
-    node.advance(ms(20));
-    node.end_attempt(id, 0, Outcome::Served, Some(in_flight));
+    node.advance(SERVE_TIME);
+    node.end_attempt(AttemptId::first(id), Outcome::Served, Some(in_flight));
     attempted[0]
 }
 
-/// Plays requests of 30 ms for a while; `outcome` says how an attempt at an endpoint ends.
+/// Plays `count` requests, one every [`PLAY_TIME`]; `outcome` says how an attempt at an endpoint
+/// ends after that time. Returns the attempts at each endpoint.
 pub fn play_requests(
     node: &mut NodeSimulation,
     count: usize,
     outcome: impl Fn(u64) -> Outcome,
-) -> BTreeMap<u64, usize> {
-    let mut attempts = BTreeMap::new();
+) -> AttemptCounts {
+    let mut attempts = AttemptCounts::default();
     for _ in 0..count {
-        node.request(1);
-        node.advance(ms(30));
-        for (id, attempt) in node.in_flight() {
-            let endpoint = node.endpoint_of(id, attempt).0;
-            *attempts.entry(endpoint).or_insert(0) += 1;
-            node.end_attempt(id, attempt, outcome(endpoint), Some(0.0));
+        node.request(NOT_IDEMPOTENT);
+        node.advance(PLAY_TIME);
+        for attempt in node.attempts_in_flight() {
+            let endpoint = node.endpoint_of(attempt).0;
+            attempts.add(endpoint);
+            node.end_attempt(attempt, outcome(endpoint), Some(0.0));
         }
     }
     attempts
 }
+
+/// Returns a function for [`play_requests`] by which these endpoints have an outcome of their own,
+/// and the others serve.
+pub fn outcome_at(
+    endpoints: std::ops::Range<u64>,
+    outcome: Outcome,
+) -> impl Fn(u64) -> Outcome + Clone {
+    move |endpoint| {
+        if endpoints.contains(&endpoint) {
+            outcome
+        } else {
+            Outcome::Served
+        }
+    }
+}
--- a/crates/balancer/tests/decisions/unusual_settings.rs
+++ b/crates/balancer/tests/decisions/unusual_settings.rs
@@ -1,8 +1,9 @@
-//! Settings out of the ordinary.
+//! Unusual settings: one node, free health checks, no load reports, no slow start.
 
-use ottertiller_balancer::{CostWeights, EndpointEntry, ListKind, Outcome, Rules, Settings};
+use ottertiller_balancer::{CostWeights, ListKind, Outcome, Rules, Settings};
+use ottertiller_balancer_simulation::fixtures::classes::NOT_IDEMPOTENT;
 use ottertiller_balancer_simulation::fixtures::{
-    entry, health_check_settings, ms, response_report_settings, settings,
+    health_check_settings, ms, response_report_settings, settings, started_entry,
 };
 use ottertiller_balancer_simulation::node::NodeSimulation;
 
@@ -33,24 +34,16 @@
         no_slow_start,
     ] {
         let mut node = NodeSimulation::new(settings);
-        let started = Some(node.now);
-        node.update_endpoints(
-            ListKind::Snapshot,
-            (0..4)
-                .map(|n| EndpointEntry {
-                    started,
-                    ..entry(n)
-                })
-                .collect(),
-        );
+        let started = (0..4).map(|number| started_entry(number, node.now));
+        node.update_endpoints(ListKind::Snapshot, started.collect());
         let mut served = 0;
         for _ in 0..100 {
-            node.request(1);
+            node.request(NOT_IDEMPOTENT);
             node.advance(ms(15));
-            node.answer_health_checks(&[0, 1, 2, 3]);
+            node.end_health_checks(&[0, 1, 2, 3]);
             node.advance(ms(15));
-            for (id, attempt) in node.in_flight() {
-                node.end_attempt(id, attempt, Outcome::Served, None);
+            for attempt in node.attempts_in_flight() {
+                node.end_attempt(attempt, Outcome::Served, None);
                 served += 1;
             }
         }
