--- a/crates/balancer/tests/memory.rs
+++ b/crates/balancer/tests/memory.rs
@@ -1,26 +1,35 @@
-//! Nothing grows with requests that have ended or endpoints that have left. Alone in its process,
-//! so that the process's memory is the balancer's.
+//! The memory of the balancer does not grow with past requests and endpoints. This test is alone in
+//! its program, so that the memory of the process is that of the balancer.
 
 use ottertiller_balancer::{
-    Action, AttemptEnd, Balancer, Event, HealthCheckEnd, ListKind, LoadReport, NewRequest, Outcome,
-    RequestId,
+    Action, AttemptEnd, Balancer, Event, HealthCheckEnd, ListKind, NewRequest, Outcome, RequestId,
 };
-use ottertiller_balancer_simulation::fixtures::{entry, health_check_settings, ms};
+use ottertiller_balancer_simulation::fixtures::{
+    entry, health_check_settings, in_flight_report, ms,
+};
+use std::ops::Range;
 use std::time::Duration;
 
-/// Resident memory in KiB, as Linux tells it.
-fn resident() -> Option<u64> {
+const START: Duration = Duration::from_secs(1);
+/// The time between two requests.
+const REQUEST_INTERVAL: Duration = Duration::from_micros(1500);
+/// The growth that is not counted as a leak. One hundred bytes kept for each request or endpoint
+/// would be 13 MB.
+const MOST_GROWTH_KIB: u64 = 2048;
+
+/// Returns the resident memory of this process in KiB; `None` where there is no `/proc`.
+fn resident_memory() -> Option<u64> {
     let status = std::fs::read_to_string("/proc/self/status").ok()?;
     let line = status.lines().find(|line| line.starts_with("VmRSS:"))?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
-/// Plays requests to an ever changing list of endpoints; executes attempts and health checks, and
-/// drops the rest.
-fn play(balancer: &mut Balancer, requests: std::ops::Range<u64>) {
+/// Plays requests while the endpoint list changes with every tenth of them. Executes attempts and
+/// health checks only.
+fn play(balancer: &mut Balancer, requests: Range<u64>) {
     let mut actions = Vec::new();
     for number in requests {
-        let now = ms(1000) + Duration::from_micros(number * 1500);
+        let now = START + REQUEST_INTERVAL * number as u32;
         if number % 10 == 0 {
             let endpoints = number / 10..number / 10 + 4;
             let list = Event::EndpointList {
@@ -29,58 +38,56 @@
             };
             balancer.handle(now, list, &mut actions);
         }
-        let id = RequestId(number);
-        let new = NewRequest {
-            id,
-            class: 0,
-            tenant: 0,
+        let request = NewRequest {
+            id: RequestId(number),
             key: number,
             remaining: ms(900),
-            cost_hint: None,
-            client_retry: false,
+            ..NewRequest::default()
         };
-        balancer.handle(now, Event::Request(new), &mut actions);
+        balancer.handle(now, Event::Request(request), &mut actions);
         while let Some(action) = actions.pop() {
-            let report = Some(LoadReport {
-                in_flight: Some(0.0),
-                ..LoadReport::default()
-            });
-            let (outcome, elapsed) = (Outcome::Served, ms(1));
-            let event = match action {
-                Action::StartAttempt { id, endpoint, .. } => {
-                    let end = AttemptEnd {
-                        id,
-                        attempt: 0,
-                        endpoint,
-                        outcome,
-                        elapsed,
-                        request_finished: true,
-                        report,
-                    };
-                    Event::AttemptEnded(end)
-                }
-                Action::HealthCheck { endpoint } => Event::HealthCheckEnded(HealthCheckEnd {
-                    endpoint,
-                    outcome,
-                    elapsed,
-                    report,
-                }),
-                _ => continue,
-            };
-            balancer.handle(now, event, &mut actions);
+            if let Some(event) = execute(action) {
+                balancer.handle(now, event, &mut actions);
+            }
         }
     }
 }
 
+/// Returns the event that ends an attempt or a health check; `None` for other actions.
+fn execute(action: Action) -> Option<Event> {
+    let report = Some(in_flight_report(0.0));
+    let (outcome, elapsed) = (Outcome::Served, ms(1));
+    match action {
+        Action::StartAttempt { id, endpoint, .. } => Some(Event::AttemptEnded(AttemptEnd {
+            id,
+            attempt: 0,
+            endpoint,
+            outcome,
+            elapsed,
+            request_finished: true,
+            report,
+        })),
+        Action::HealthCheck { endpoint } => Some(Event::HealthCheckEnded(HealthCheckEnd {
+            endpoint,
+            outcome,
+            elapsed,
+            report,
+        })),
+        _ => None,
+    }
+}
+
 #[test]
 fn memory_does_not_grow_with_past_requests_and_endpoints() {
     let mut balancer = Balancer::new(health_check_settings(), 1);
     play(&mut balancer, 1..20_000);
-    let Some(before) = resident() else {
+    let Some(before) = resident_memory() else {
         return eprintln!("no /proc here: not checked");
     };
     play(&mut balancer, 20_000..150_000);
-    let grown = resident().unwrap_or(before).saturating_sub(before);
-    // One remembered request or endpoint of a hundred bytes each would be 13 MB.
-    assert!(grown < 2048, "{grown} KiB more after 130,000 requests");
+    let grown = resident_memory().unwrap_or(before).saturating_sub(before);
+    assert!(
+        grown < MOST_GROWTH_KIB,
+        "{grown} KiB more after 130,000 requests"
+    );
 }
