--- a/crates/balancer/tests/decisions/admission.rs
+++ b/crates/balancer/tests/decisions/admission.rs
@@ -3,9 +3,15 @@
 use crate::support::serve_one;
 use ottertiller_balancer::{Outcome, Tenant};
 use ottertiller_balancer_simulation::actions::{count_attempts, endpoints_attempted, is_shed};
-use ottertiller_balancer_simulation::fixtures::classes::NOT_IDEMPOTENT;
+use ottertiller_balancer_simulation::fixtures::classes::{IDEMPOTENT, NOT_IDEMPOTENT};
 use ottertiller_balancer_simulation::fixtures::{ms, response_report_settings};
 use ottertiller_balancer_simulation::node::{AttemptId, NodeSimulation, RequestOptions};
+use std::time::Duration;
+
+/// A response time just within the latency objective of 400 ms.
+const JUST_WITHIN_OBJECTIVE: Duration = Duration::from_millis(390);
+/// The requests in flight that a crowded endpoint reports.
+const CROWDED: f32 = 3.0;
 
 #[test]
 fn tenant_over_quota_is_shed_first() {
@@ -64,7 +70,7 @@
 /// objective, so such responses must not open crowding levels.
 #[test]
 fn responses_near_objective_close_crowding_level() {
-    let most_in_flight = |response_time: u64| {
+    let most_in_flight = |response_time: Duration| {
         let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
         let mut most = 0;
         for _ in 0..2000 {
@@ -72,14 +78,17 @@
             node.advance(ms(2));
             most = most.max(node.attempts_in_flight().len());
             for attempt in node.attempts_in_flight() {
-                if node.since_first_attempt(attempt.request) >= ms(response_time) {
-                    node.end_attempt(attempt, Outcome::Served, Some(3.0));
+                if node.since_first_attempt(attempt.request) >= response_time {
+                    node.end_attempt(attempt, Outcome::Served, Some(CROWDED));
                 }
             }
         }
         most
     };
-    let (quick, late) = (most_in_flight(100), most_in_flight(390));
+    let (quick, late) = (
+        most_in_flight(ms(100)),
+        most_in_flight(JUST_WITHIN_OBJECTIVE),
+    );
     assert!(
         quick >= 4 * 4,
         "{quick} in flight at four endpoints: responses with time to spare open the levels"
@@ -94,19 +103,20 @@
 #[test]
 fn higher_priority_is_admitted_first_in_overload() {
     let mut settings = response_report_settings();
-    settings.classes[1].priority_weight = 10.0;
+    settings.classes[NOT_IDEMPOTENT].priority_weight = 10.0;
     let mut node = NodeSimulation::with_endpoints(settings, 4);
     let mut sent = [0, 0];
     for step in 0..600 {
-        let class = step % 2;
+        let class = [IDEMPOTENT, NOT_IDEMPOTENT][step % 2];
         let (id, actions) = node.request(class);
         if !endpoints_attempted(&actions).is_empty() {
             sent[class] += 1;
-            node.advance(ms(390)); // just within the objective
-            node.end_attempt(AttemptId::first(id), Outcome::Served, Some(3.0));
+            node.advance(JUST_WITHIN_OBJECTIVE);
+            node.end_attempt(AttemptId::first(id), Outcome::Served, Some(CROWDED));
         }
     }
-    assert!(sent[1] > 2 * sent[0] && sent[0] > 0, "{sent:?}");
+    let [low, high] = [sent[IDEMPOTENT], sent[NOT_IDEMPOTENT]];
+    assert!(high > 2 * low && low > 0, "{sent:?}");
 }
 
 /// Hundreds of nodes may overload the endpoints with one request each, while no endpoint looks
@@ -114,23 +124,23 @@
 #[test]
 fn late_responses_of_idle_endpoints_cause_shedding_and_recovery() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
-    let sent = |node: &mut NodeSimulation, response_time: u64| {
+    let sent = |node: &mut NodeSimulation, response_time: Duration| {
         let mut sent = 0;
         for _ in 0..200 {
             let (id, actions) = node.request(NOT_IDEMPOTENT);
             if !endpoints_attempted(&actions).is_empty() {
                 sent += 1;
-                node.advance(ms(response_time));
-                node.end_attempt(AttemptId::first(id), Outcome::Served, Some(3.0));
+                node.advance(response_time);
+                node.end_attempt(AttemptId::first(id), Outcome::Served, Some(CROWDED));
             }
         }
         sent
     };
-    assert_eq!(sent(&mut node, 50), 200);
-    let slow = sent(&mut node, 390);
+    assert_eq!(sent(&mut node, ms(50)), 200);
+    let slow = sent(&mut node, JUST_WITHIN_OBJECTIVE);
     assert!((15..100).contains(&slow), "{slow}");
-    sent(&mut node, 50);
-    assert_eq!(sent(&mut node, 50), 200);
+    sent(&mut node, ms(50));
+    assert_eq!(sent(&mut node, ms(50)), 200);
 }
 
 /// While endpoints are busy, a heavy request that cannot finish in time would take the place of
@@ -139,7 +149,7 @@
 fn request_with_cost_beyond_objective_is_shed_at_once() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
     for _ in 0..60 {
-        serve_one(&mut node, 3.0); // none is idle
+        serve_one(&mut node, CROWDED); // none is idle
     }
     let with_cost = |work| RequestOptions {
         class: NOT_IDEMPOTENT,
--- a/crates/balancer/tests/properties/invariants.rs
+++ b/crates/balancer/tests/properties/invariants.rs
@@ -73,6 +73,7 @@
 }
 
 impl ListedState {
+    /// Returns the entry as it is listed at this time.
     fn entry(&self, now: Duration) -> EndpointEntry {
         EndpointEntry {
             state: self.state,
@@ -82,6 +83,7 @@
     }
 }
 
+/// Generates entries of endpoint lists, of which most are ready.
 fn listed_state() -> impl Strategy<Value = ListedState> {
     (0u64..6, 0u8..8, any::<bool>()).prop_map(|(endpoint, state, is_restarted)| ListedState {
         endpoint,
@@ -94,6 +96,7 @@
     })
 }
 
+/// Generates steps, with more requests and responses than changes of the endpoint list.
 fn step() -> impl Strategy<Value = Step> {
     let in_flight = || prop::option::of(0u8..4);
     let request = (
@@ -130,6 +133,11 @@
     ]
 }
 
+/// Generates histories of up to 119 steps.
+fn history() -> impl Strategy<Value = Vec<Step>> {
+    prop::collection::vec(step(), 1..120)
+}
+
 /// Returns one of some items; `None` if there are none.
 fn choose<T: Copy>(items: &[T], choice: usize) -> Option<T> {
     items.get(choice.checked_rem(items.len())?).copied()
@@ -215,7 +223,7 @@
     #![proptest_config(config(CASES))]
 
     #[test]
-    fn invariants_hold_with_health_check_reports(seed: u64, steps in prop::collection::vec(step(), 1..120)) {
+    fn invariants_hold_with_health_check_reports(seed: u64, steps in history()) {
         let mut settings = health_check_settings();
         settings.rules.initial_capacity = 0.2;
         settings.rules.slow_start_window = ms(5000);
@@ -224,7 +232,7 @@
     }
 
     #[test]
-    fn invariants_hold_with_response_reports(seed: u64, steps in prop::collection::vec(step(), 1..120)) {
+    fn invariants_hold_with_response_reports(seed: u64, steps in history()) {
         let mut settings = response_report_settings();
         settings.limits.parallel_attempts = false;
         settings.rules.drain_grace = ms(0);
@@ -233,7 +241,7 @@
     }
 
     #[test]
-    fn invariants_hold_with_minimal_limits(seed: u64, steps in prop::collection::vec(step(), 1..120)) {
+    fn invariants_hold_with_minimal_limits(seed: u64, steps in history()) {
         let mut settings = settings();
         settings.limits = Limits { max_attempts: 1, cancel: false, ..Settings::default().limits };
         settings.node_count = 1;
--- a/crates/balancer/tests/properties/slow_start_limit.rs
+++ b/crates/balancer/tests/properties/slow_start_limit.rs
@@ -9,7 +9,7 @@
     draining_entry, ms, response_report_settings, started_entry,
 };
 use ottertiller_balancer_simulation::node::NodeSimulation;
-use proptest::prelude::{TestCaseError, prop, prop_assert, proptest};
+use proptest::prelude::{Strategy, TestCaseError, prop, prop_assert, proptest};
 use std::collections::BTreeMap;
 use std::ops::Range;
 use std::time::Duration;
@@ -41,6 +41,11 @@
 /// Some requests at once, and the milliseconds until the next ones.
 type Arrivals = (usize, u64);
 
+/// Generates arrivals of up to 11 requests at a time.
+fn arrivals() -> impl Strategy<Value = Vec<Arrivals>> {
+    prop::collection::vec((0usize..12, 1u64..60), 120..240)
+}
+
 /// One node, which may use the whole limit of an endpoint in slow start, and endpoints that serve
 /// one request after the other.
 struct SequentialEndpoints {
@@ -144,7 +149,7 @@
     #![proptest_config(config(10))]
 
     #[test]
-    fn slow_start_endpoint_is_not_overloaded_by_one_node(seed: u64, arrivals in prop::collection::vec((0usize..12, 1u64..60), 120..240)) {
+    fn slow_start_endpoint_is_not_overloaded_by_one_node(seed: u64, arrivals in arrivals()) {
         play_one_node(seed, &arrivals)?;
     }
 }
