--- a/crates/balancer-simulation/src/actions.rs
+++ b/crates/balancer-simulation/src/actions.rs
@@ -1,6 +1,6 @@
 //! Questions that tests ask about a list of actions.
 
-use ottertiller_balancer::{Action, EndpointId};
+use ottertiller_balancer::{Action, EndpointId, RequestId};
 
 /// Returns the numbers of the endpoints at which attempts start, in the order of the attempts.
 pub fn endpoints_attempted(actions: &[Action]) -> Vec<u64> {
@@ -24,6 +24,14 @@
         .count()
 }
 
+/// Counts the attempts of a request that start.
+pub fn count_attempts_of(actions: &[Action], request: RequestId) -> usize {
+    actions
+        .iter()
+        .filter(|action| matches!(action, Action::StartAttempt { id, .. } if *id == request))
+        .count()
+}
+
 /// Counts the health checks that start.
 pub fn count_health_checks(actions: &[Action]) -> usize {
     actions
--- a/crates/balancer/tests/decisions/hedging.rs
+++ b/crates/balancer/tests/decisions/hedging.rs
@@ -1,7 +1,8 @@
 //! Hedged requests: what follows an attempt without a response.
 
 use crate::support::play_requests;
-use ottertiller_balancer::{Action, Outcome};
+use ottertiller_balancer::Outcome;
+use ottertiller_balancer_simulation::actions::count_attempts_of;
 use ottertiller_balancer_simulation::fixtures::classes::{
     IDEMPOTENT, KEYED_EVERYWHERE, NOT_IDEMPOTENT,
 };
@@ -24,11 +25,7 @@
             play_requests(&mut node, 100, |_| Outcome::Served); // responses take 30 ms
             let (id, _) = node.request(class);
             node.advance(ms(if parallel { 200 } else { 390 }));
-            let attempts = node
-                .actions
-                .iter()
-                .filter(|action| matches!(action, Action::StartAttempt { id: attempted, .. } if *attempted == id))
-                .count();
+            let attempts = count_attempts_of(&node.actions, id);
             assert_eq!(
                 attempts > 1,
                 may_follow,
