--- a/crates/balancer/tests/decisions/late_attempts.rs
+++ b/crates/balancer/tests/decisions/late_attempts.rs
@@ -1,11 +1,30 @@
 //! Load shedding after late attempts.
 
-use crate::simulation::fixtures::*;
-use crate::simulation::node::NodeSimulation;
-use crate::support::*;
-use ottertiller_balancer::*;
+use crate::support::serve_one;
+use ottertiller_balancer::{Action, Outcome, RequestId, Settings};
+use ottertiller_balancer_simulation::actions::is_shed;
+use ottertiller_balancer_simulation::fixtures::classes::{IDEMPOTENT, NOT_IDEMPOTENT};
+use ottertiller_balancer_simulation::fixtures::{ms, response_report_settings};
+use ottertiller_balancer_simulation::node::{AttemptId, NodeSimulation, RequestOptions};
 
-/// Plays requests one after another, each with what its attempts meet; counts those that were shed.
+/// Returns settings by which a request has one attempt in flight at a time.
+fn sequential_attempt_settings() -> Settings {
+    let mut settings = response_report_settings();
+    settings.limits.parallel_attempts = false;
+    settings
+}
+
+/// Ends the attempts in flight of some requests as served.
+fn end_attempts_of(node: &mut NodeSimulation, is_served: impl Fn(RequestId) -> bool) {
+    for attempt in node.attempts_in_flight() {
+        if is_served(attempt.request) {
+            node.end_attempt(attempt, Outcome::Served, Some(1.0));
+        }
+    }
+}
+
+/// Plays requests one after another, and counts those that were shed. `play_one` sends one request,
+/// ends its attempts, and returns the actions that followed the request.
 fn count_shed(
     node: &mut NodeSimulation,
     requests: usize,
@@ -16,28 +35,25 @@
         .count()
 }
 
+/// In an overload most first attempts are cancelled before the deadline of their request. A node
+/// that counts only attempts which are late at their deadline would continue to overload the
+/// endpoints.
 #[test]
-fn an_attempt_cancelled_for_the_next_one_counts_as_late() {
-    // Guards against: in an overload most first attempts are cancelled before their request's time
-    // is over. A node that counts only what is late at the very end goes on filling the endpoints
-    // up.
-    let mut settings = response_report_settings();
-    settings.limits.parallel_attempts = false;
+fn attempt_cancelled_for_next_one_counts_as_late() {
+    let settings = sequential_attempt_settings();
     let shed_of_300 = |cancelled: usize| {
         let mut node = NodeSimulation::with_endpoints(settings.clone(), 12);
         for _ in 0..100 {
             serve_one(&mut node, 1.0);
         }
         count_shed(&mut node, 300, |node, n| {
-            let (id, actions) = node.request(0);
+            let (id, actions) = node.request(IDEMPOTENT);
             if n % 3 < cancelled && !is_shed(&actions) {
-                while node.in_flight() == [(id, 0)] {
+                while node.attempts_in_flight() == [AttemptId::first(id)] {
                     node.advance(ms(1));
                 }
             }
-            for (id, attempt) in node.in_flight() {
-                node.end_attempt(id, attempt, Outcome::Served, Some(1.0));
-            }
+            node.end_all_attempts(Outcome::Served, Some(1.0));
             actions
         })
     };
@@ -45,41 +61,40 @@
     assert!(shed_of_300(1) > 15, "{} of 300", shed_of_300(1));
 }
 
+/// Where one class takes a second, late attempts of a quick class within that second count all the
+/// same.
 #[test]
-fn lateness_counts_by_class_however_long_other_classes_take() {
-    // Guards against: where one class takes a second, nothing that a quick class loses within that
-    // is ever counted.
-    let mut settings = response_report_settings();
-    settings.limits.parallel_attempts = false;
-    (
-        settings.classes[0].latency_objective,
-        settings.classes[0].deadline,
-    ) = (ms(100), ms(100));
-    (
-        settings.classes[1].latency_objective,
-        settings.classes[1].deadline,
-    ) = (ms(4000), ms(4000));
+fn lateness_is_counted_per_class() {
+    let mut settings = sequential_attempt_settings();
+    for (class, time) in [(IDEMPOTENT, ms(100)), (NOT_IDEMPOTENT, ms(4000))] {
+        settings.classes[class].latency_objective = time;
+        settings.classes[class].deadline = time;
+    }
     let mut node = NodeSimulation::with_endpoints(settings, 12);
     let shed = count_shed(&mut node, 400, |node, _| {
-        let (slow, _) = node.request_with(1, 0, ms(4000), None);
+        let (slow, _) = node.request_with(RequestOptions {
+            class: NOT_IDEMPOTENT,
+            remaining: ms(4000),
+            ..RequestOptions::default()
+        });
         node.advance(ms(1000));
-        for (id, attempt) in node.in_flight().into_iter().filter(|(id, _)| *id == slow) {
-            node.end_attempt(id, attempt, Outcome::Served, Some(1.0));
-        }
-        let (quick, actions) = node.request_with(0, 0, ms(100), None);
-        node.advance(ms(100)); // no answer comes
-        assert!(node.is_answered(quick));
+        end_attempts_of(node, |id| id == slow);
+        let (quick, actions) = node.request_with(RequestOptions {
+            remaining: ms(100),
+            ..RequestOptions::default()
+        });
+        node.advance(ms(100)); // no response arrives
+        assert!(node.is_finished(quick));
         actions
     });
     assert!(shed > 200, "{shed} of 400");
 }
 
+/// Hundreds of nodes with one or two requests each at an endpoint overload it. A node without
+/// others beside it is limited by its crowding levels already, and sheds little.
 #[test]
-fn late_attempts_at_an_endpoint_that_the_node_crowds_itself_shed_requests_too() {
-    // Guards against: of hundreds of nodes each has one or two requests at an endpoint, which is
-    // overloaded by then.
-    let mut settings = response_report_settings();
-    settings.limits.parallel_attempts = false;
+fn late_attempts_at_endpoint_crowded_by_node_cause_shedding() {
+    let settings = sequential_attempt_settings();
     let shed = |nodes: u32| {
         let mut node = NodeSimulation::with_endpoints(
             Settings {
@@ -89,45 +104,34 @@
             1,
         );
         count_shed(&mut node, 400, |node, n| {
-            let (first, actions) = node.request(1);
-            node.request(1);
+            let (first, actions) = node.request(NOT_IDEMPOTENT);
+            node.request(NOT_IDEMPOTENT);
             node.advance(ms(50));
-            let answer = |node: &mut NodeSimulation, ready: &dyn Fn(RequestId) -> bool| {
-                for (id, attempt) in node.in_flight().into_iter().filter(|(id, _)| ready(*id)) {
-                    node.end_attempt(id, attempt, Outcome::Served, Some(1.0));
-                }
-            };
-            // Alone, so few late ones would shed nothing.
-            answer(node, &|id| id == first && n % 5 > 0);
+            // By themselves, so few late attempts would shed nothing.
+            end_attempts_of(node, |id| id == first && n % 5 > 0);
             node.advance(ms(340));
-            answer(node, &|_| true);
+            end_attempts_of(node, |_| true);
             actions
         })
     };
     assert!(shed(300) > 50, "{} of 400", shed(300));
-    // A node without others beside it has crowded the endpoint itself, and what it sends there is
-    // limited already.
     assert!(shed(1) < 10, "{} of 400", shed(1));
 }
 
+/// If all nodes sent all requests of the highest priority, an overload would never end.
 #[test]
-fn in_an_overload_requests_of_high_priority_are_shed_as_well() {
-    // Guards against: what has the highest priority is tried so often, by all nodes, that the
-    // overload never ends.
-    let mut settings = response_report_settings();
-    settings.limits.parallel_attempts = false;
-    (
-        settings.classes[0].priority_weight,
-        settings.classes[1].priority_weight,
-    ) = (12.0, 1.0);
+fn high_priority_requests_are_also_shed_in_overload() {
+    let mut settings = sequential_attempt_settings();
+    settings.classes[IDEMPOTENT].priority_weight = 12.0;
+    settings.classes[NOT_IDEMPOTENT].priority_weight = 1.0;
     let mut node = NodeSimulation::with_endpoints(settings, 4);
     let play_late = |node: &mut NodeSimulation, n: usize| {
-        let (_, actions) = node.request(usize::from(n % 4 > 0));
+        let is_high = n % 4 == 0;
+        let class = if is_high { IDEMPOTENT } else { NOT_IDEMPOTENT };
+        let (_, actions) = node.request(class);
         node.advance(ms(390));
-        for (id, attempt) in node.in_flight() {
-            node.end_attempt(id, attempt, Outcome::Served, Some(3.0));
-        }
-        if n % 4 == 0 { actions } else { Vec::new() }
+        node.end_all_attempts(Outcome::Served, Some(3.0));
+        if is_high { actions } else { Vec::new() }
     };
     count_shed(&mut node, 400, play_late);
     let shed = count_shed(&mut node, 800, play_late);
--- a/crates/node/tests/node/endpoint_choice.rs
+++ b/crates/node/tests/node/endpoint_choice.rs
@@ -1,12 +1,19 @@
 //! Which endpoints the node uses after malformed responses, resets and load reports.
 
-use crate::support::*;
+use crate::support::endpoint::{
+    ScriptedEndpoint, ScriptedReply, endpoint_pair_with_first_reply, ok_with_headers,
+};
+use crate::support::settings::NodeSettings;
+use crate::support::setup::{NodeSetup, start_node};
 
-/// Sends 20 requests, which the first endpoint fails and the second one serves.
+/// Sends 20 requests, and asserts that both endpoints are used though the first attempt failed.
 fn assert_both_stay_in_use(one: &ScriptedEndpoint, two: &ScriptedEndpoint) {
-    // An ejected endpoint stays so for the length of the test.
-    let settings = settings(LONG_MS, "").replace("2000}", r#"2000,"TipAfter":60000}"#);
-    let (node, _watch, _discovery) = start_node(&settings, &[one, two]);
+    // An ejected endpoint stays ejected for the length of the test.
+    let settings = NodeSettings {
+        overload_window_ms: Some(60_000),
+        ..NodeSettings::default()
+    };
+    let (node, _discovery) = NodeSetup::with_settings(settings).start(&[one, two]);
     let mut client = node.client();
     (0..20).for_each(|_| assert_eq!(client.request_read().body, b"second"));
     assert!(
@@ -17,10 +24,10 @@
     );
 }
 
-/// Any endpoint may send a response that can't be parsed: were each a reason to eject its endpoint,
-/// soon none would be left.
+/// Any endpoint may send a response that cannot be parsed. If each ejected its endpoint, soon none
+/// would be left.
 #[test]
-fn a_malformed_response_does_not_eject_its_endpoint() {
+fn malformed_response_does_not_eject_endpoint() {
     let nonsense: [&'static [u8]; 4] = [
         b"\x01\xf3 no HTTP\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 0\r\n\r\n",
@@ -33,17 +40,17 @@
     }
 }
 
-/// Healthy endpoints have connection resets too. An unreachable endpoint is another matter.
+/// Healthy endpoints have connection resets too, unlike unreachable ones.
 #[test]
-fn a_connection_reset_during_a_request_does_not_eject_its_endpoint() {
+fn connection_reset_does_not_eject_endpoint() {
     let (one, two) = endpoint_pair_with_first_reply(|| ScriptedReply::CloseAfter(vec![]));
     assert_both_stay_in_use(&one, &two);
 }
 
-/// Reports name their fields as the settings do, or as the protocol does. A node that reads none of
-/// them sends as much to a crowded endpoint as to an idle one.
+/// Load reports name their fields as the settings or as the protocol does. A node that cannot read
+/// them would send as much to a crowded endpoint as to an idle one.
 #[test]
-fn an_endpoint_that_reports_idle_is_joined() {
+fn endpoint_that_reports_idle_gets_more_requests() {
     for (idle, crowded) in [
         (
             "X-Load-Report: concurrent=0,depth=0\r\n",
@@ -54,11 +61,9 @@
             "X-Load-Report: inflight=10,queue=5\r\n",
         ),
     ] {
-        let idle =
-            ScriptedEndpoint::start(move |_| ScriptedReply::Response("200 OK", idle, vec![]));
-        let crowded =
-            ScriptedEndpoint::start(move |_| ScriptedReply::Response("200 OK", crowded, vec![]));
-        let (node, _watch, _discovery) = start_node(&settings(LONG_MS, ""), &[&idle, &crowded]);
+        let idle = ScriptedEndpoint::start(move |_| ok_with_headers(idle));
+        let crowded = ScriptedEndpoint::start(move |_| ok_with_headers(crowded));
+        let (node, _discovery) = start_node(&[&idle, &crowded]);
         let mut client = node.client();
         (0..60).for_each(|_| assert_eq!(client.request_read().status(), 200));
         assert!(
