--- /dev/null
+++ b/crates/node/src/downstream/graceful_shutdown.rs
@@ -0,0 +1,96 @@
+//! The graceful shutdown of the downstream side: its phases, and the drain that goes through them.
+//!
+//! ```text
+//! Serving --shutdown signal--> Draining --0.55 s--> Shedding --no connection left--> end
+//! ```
+
+use super::listener::{Acceptor, Listener};
+use super::registry::ConnectionRegistry;
+use crate::logging::log;
+use crate::message::Message;
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::mpsc;
+use tokio::time::{sleep, timeout};
+
+/// How long new connections are accepted after the shutdown signal. Clients may still open
+/// connections for up to 0.4 s after it; the rest is a margin.
+const DRAIN_ACCEPT_PERIOD: Duration = Duration::from_millis(450);
+/// How long the connections that were accepted last have to send their requests. After it, idle
+/// connections are closed and further requests are shed.
+const LAST_REQUEST_GRACE: Duration = Duration::from_millis(100);
+/// How long clients have to end their connections once every request has been given its final
+/// response.
+const FINAL_CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
+
+/// A phase of the shutdown. Each phase follows the one before it, and none comes back.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum ShutdownPhase {
+    /// Requests are served, and connections are kept.
+    Serving,
+    /// The node is not ready: requests are still served, but each connection closes with its next
+    /// response.
+    Draining,
+    /// There is no time left to serve further requests: they are shed.
+    Shedding,
+}
+
+impl ShutdownPhase {
+    /// Returns whether the shutdown has begun.
+    pub fn is_draining(self) -> bool {
+        self >= ShutdownPhase::Draining
+    }
+
+    /// Returns whether requests are shed without being admitted.
+    pub fn sheds_requests(self) -> bool {
+        self >= ShutdownPhase::Shedding
+    }
+}
+
+/// Shuts the downstream side down without losing a request that it has accepted.
+pub struct GracefulShutdown {
+    /// The phase, which the other parts read.
+    pub phase: Rc<Cell<ShutdownPhase>>,
+    /// The connections that are drained.
+    pub registry: Rc<ConnectionRegistry>,
+    /// The driver, which is told to end the requests that are still in flight after the drain
+    /// timeout.
+    pub driver: mpsc::Sender<Message>,
+    /// How long the requests in flight may take once no further ones are served: the longest
+    /// deadline of any request class.
+    pub drain_timeout: Duration,
+}
+
+impl GracefulShutdown {
+    /// Drains: accepts the last connections, serves every request on them, and waits until all
+    /// connections have ended.
+    pub async fn drain(&self, mut acceptor: Acceptor<impl Listener>) {
+        self.phase.set(ShutdownPhase::Draining);
+        let _ = timeout(DRAIN_ACCEPT_PERIOD, acceptor.run()).await;
+        acceptor.finish().await;
+        sleep(LAST_REQUEST_GRACE).await;
+        self.phase.set(ShutdownPhase::Shedding);
+        self.registry.shut_down_idle();
+        if !self.connections_end_within(self.drain_timeout).await {
+            self.end_overdue_requests().await;
+        }
+    }
+
+    /// Makes the driver give every admitted request its final response now, however long its client
+    /// would still wait. No other connection can have sent a whole request.
+    async fn end_overdue_requests(&self) {
+        // Fails only when the driver has ended.
+        let _ = self.driver.send(Message::Shutdown).await;
+        if !self.connections_end_within(FINAL_CLOSE_TIMEOUT).await {
+            log("client connections still open at the end of the drain");
+        }
+    }
+
+    /// Waits until all connections have ended. Returns false if they have not after `limit`.
+    async fn connections_end_within(&self, limit: Duration) -> bool {
+        timeout(limit, self.registry.wait_until_empty())
+            .await
+            .is_ok()
+    }
+}
--- a/crates/node/src/downstream/handler.rs
+++ b/crates/node/src/downstream/handler.rs
@@ -1,8 +1,8 @@
 //! Handles one request: checks and reads it, admits it, and waits for its final response.
 
+use super::graceful_shutdown::ShutdownPhase;
 use super::open_calls::OpenCalls;
 use super::options::DownstreamOptions;
-use super::phase::Phase;
 use super::request_body;
 use super::request_error::RequestError;
 use super::request_parser::{self, ParsedRequest};
@@ -41,7 +41,7 @@
     driver: mpsc::Sender<Message>,
     /// Whether the node has an endpoint list.
     is_ready: Rc<Cell<bool>>,
-    phase: Rc<Cell<Phase>>,
+    phase: Rc<Cell<ShutdownPhase>>,
     open_calls: OpenCalls,
     last_request_id: Cell<u64>,
 }
@@ -62,7 +62,7 @@
         budget: Budget,
         driver: mpsc::Sender<Message>,
         is_ready: Rc<Cell<bool>>,
-        phase: Rc<Cell<Phase>>,
+        phase: Rc<Cell<ShutdownPhase>>,
     ) -> Self {
         RequestHandler {
             clock,
--- a/crates/node/src/downstream/listener/tests.rs
+++ b/crates/node/src/downstream/listener/tests.rs
@@ -3,10 +3,7 @@
 
 use super::*;
 use crate::clock::Clock;
-use crate::downstream::handler::RequestHandler;
-use crate::downstream::options::DownstreamOptions;
-use crate::downstream::phase::Phase;
-use crate::downstream::registry::ConnectionRegistry;
+use crate::downstream::{Downstream, DownstreamOptions};
 use crate::memory_budget::Budget;
 use crate::socket::fault_injection::InjectedFaults;
 use rustix::io::Errno;
@@ -55,20 +52,10 @@
         tenants: Vec::new(),
         max_retry_after: None,
     };
-    let phase = Rc::new(Cell::new(Phase::Serving));
-    let registry = Rc::new(ConnectionRegistry::new(MAX_CONNECTIONS));
     let (driver, _) = mpsc::channel(1);
     let is_ready = Rc::new(Cell::new(true));
     let budget = Budget::new(1 << 20);
-    let handler = RequestHandler::new(
-        Clock::start(),
-        options,
-        budget,
-        driver,
-        is_ready,
-        phase.clone(),
-    );
-    Rc::new(Server::new(handler, registry, phase))
+    Downstream::new(Clock::start(), options, budget, driver, is_ready).server
 }
 
 /// A client's connection, on which [`ask`] gets an answer.
--- a/crates/node/src/downstream/server.rs
+++ b/crates/node/src/downstream/server.rs
@@ -1,8 +1,8 @@
 //! Serves HTTP/1.1 on accepted connections.
 
 use super::connection::Connection;
+use super::graceful_shutdown::ShutdownPhase;
 use super::handler::RequestHandler;
-use super::phase::Phase;
 use super::registry::ConnectionRegistry;
 use super::response::{self, FullResponse};
 use crate::limits::READ_BUFFER_BYTES;
@@ -23,7 +23,7 @@
 pub struct Server {
     handler: RequestHandler,
     registry: Rc<ConnectionRegistry>,
-    phase: Rc<Cell<Phase>>,
+    phase: Rc<Cell<ShutdownPhase>>,
 }
 
 impl Server {
@@ -31,7 +31,7 @@
     pub fn new(
         handler: RequestHandler,
         registry: Rc<ConnectionRegistry>,
-        phase: Rc<Cell<Phase>>,
+        phase: Rc<Cell<ShutdownPhase>>,
     ) -> Self {
         Server {
             handler,
