--- a/crates/node/src/downstream/registry.rs
+++ b/crates/node/src/downstream/connection_registry.rs
@@ -1,18 +1,14 @@
-//! The registry of client connections: their limit, their timeouts, and the eviction of idle ones.
+//! The registry of client connections, and their limit.
 
-use super::connection::{Connection, Eviction};
+use super::connection::Connection;
+use super::eviction::{self, EvictionReason};
+use super::timeouts;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep};
 
-/// How often timeouts are enforced.
-const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a closing connection may take before it is aborted, if the registry is full.
-const EVICTION_GRACE: Duration = Duration::from_millis(10);
-
 /// All open client connections.
 pub struct ConnectionRegistry {
     connections: RefCell<BTreeMap<u64, Rc<Connection>>>,
@@ -23,7 +19,7 @@
 }
 
 impl ConnectionRegistry {
-    /// An empty registry.
+    /// Creates an empty registry that is full with `max_connections`.
     pub fn new(max_connections: usize) -> Self {
         ConnectionRegistry {
             connections: RefCell::default(),
@@ -33,23 +29,24 @@
         }
     }
 
-    /// Registers a connection until the guard is dropped.
-    pub fn register(self: &Rc<Self>, connection: Rc<Connection>) -> Registration {
+    /// Registers a connection until the returned guard is dropped.
+    pub fn register(self: &Rc<Self>, connection: Rc<Connection>) -> RegistrationGuard {
         let id = self.last_id.get() + 1;
         self.last_id.set(id);
         self.connections.borrow_mut().insert(id, connection);
-        Registration {
+        RegistrationGuard {
             registry: self.clone(),
             id,
         }
     }
 
-    /// Whether the limit is reached.
+    /// Returns whether the limit is reached.
     pub fn is_full(&self) -> bool {
         self.connections.borrow().len() >= self.max_connections
     }
 
-    /// A connection has fallen idle, and can be evicted if the registry is full.
+    /// Notifies the registry that a connection has become idle. It can be evicted if the registry
+    /// is full.
     pub fn notify_idle(&self) {
         if self.is_full() {
             self.changed.notify_one();
@@ -69,21 +66,13 @@
     }
 
     /// Makes room for a new connection by closing an idle one, unless one is closing already.
-    pub fn evict_one(&self, eviction: Eviction) {
-        let connections = self.connections.borrow();
-        let closing = connections
-            .values()
-            .filter(|connection| connection.closing_since().is_some());
-        match closing.min_by_key(|connection| connection.closing_since()) {
-            Some(connection) => abort_if_overdue(connection),
-            None => close_first_idle(connections.values(), eviction),
-        }
+    pub fn evict_one(&self, reason: EvictionReason) {
+        eviction::evict_one(self.connections.borrow().values(), reason);
     }
 
     /// Closes all idle connections. The others close with their next response.
     pub fn shut_down_idle(&self) {
-        let connections = self.connections.borrow();
-        for connection in connections.values() {
+        for connection in self.connections.borrow().values() {
             if connection.idle_since().is_some() && connection.has_nothing_to_read() {
                 connection.shut_down_gracefully();
             }
@@ -93,48 +82,22 @@
     /// Enforces the timeouts of all connections, forever.
     pub async fn enforce_timeouts(self: Rc<Self>) {
         loop {
-            sleep(TIMEOUT_CHECK_INTERVAL).await;
+            sleep(timeouts::CHECK_INTERVAL).await;
             let now = Instant::now();
             for connection in self.connections.borrow().values() {
-                connection.enforce_timeouts(now);
+                timeouts::enforce(connection, now);
             }
         }
     }
 }
 
-fn abort_if_overdue(closing: &Connection) {
-    let is_overdue = closing
-        .closing_since()
-        .is_some_and(|since| Instant::now() > since + EVICTION_GRACE);
-    if is_overdue {
-        closing.abort();
-    }
-}
-
-fn close_first_idle<'a>(connections: impl Iterator<Item = &'a Rc<Connection>>, eviction: Eviction) {
-    let mut idle = Vec::new();
-    for connection in connections {
-        if let Some(rank) = connection.eviction_rank(eviction) {
-            idle.push((rank, connection));
-        }
-    }
-    idle.sort_unstable_by_key(|(rank, _)| *rank);
-    // Each check is a system call, so it is made in this order and only until one succeeds.
-    if let Some((_, connection)) = idle
-        .iter()
-        .find(|(_, connection)| connection.has_nothing_to_read())
-    {
-        connection.close();
-    }
-}
-
-/// The entry of a connection, removed when this is dropped.
-pub struct Registration {
+/// Keeps a connection registered until it is dropped.
+pub struct RegistrationGuard {
     registry: Rc<ConnectionRegistry>,
     id: u64,
 }
 
-impl Drop for Registration {
+impl Drop for RegistrationGuard {
     fn drop(&mut self) {
         self.registry.connections.borrow_mut().remove(&self.id);
         self.registry.changed.notify_one();
--- a/crates/node/src/downstream/graceful_shutdown.rs
+++ b/crates/node/src/downstream/graceful_shutdown.rs
@@ -4,8 +4,8 @@
 //! Serving --shutdown signal--> Draining --0.55 s--> Shedding --no connection left--> end
 //! ```
 
+use super::connection_registry::ConnectionRegistry;
 use super::listener::{Acceptor, Listener};
-use super::registry::ConnectionRegistry;
 use crate::logging::log;
 use crate::message::Message;
 use std::cell::Cell;
--- a/crates/node/src/downstream/listener.rs
+++ b/crates/node/src/downstream/listener.rs
@@ -1,6 +1,6 @@
 //! Accepts client connections up to the configured limit.
 
-use super::connection::Eviction;
+use super::eviction::EvictionReason;
 use super::server::Server;
 use crate::logging::log_peer;
 use rustix::io::Errno;
@@ -136,9 +136,10 @@
         match AcceptFailure::of(&error) {
             // A turn of the loop for the others, should the next ones have failed as well.
             AcceptFailure::OneConnection => return yield_now().await,
-            AcceptFailure::OutOfDescriptors => {
-                self.server.registry().evict_one(Eviction::ForDescriptor)
-            }
+            AcceptFailure::OutOfDescriptors => self
+                .server
+                .registry()
+                .evict_one(EvictionReason::OutOfDescriptors),
             AcceptFailure::SystemResources => {}
         }
         sleep(RETRY_INTERVAL).await;
@@ -147,7 +148,7 @@
     async fn wait_for_capacity(&self) {
         let registry = self.server.registry();
         while registry.is_full() {
-            registry.evict_one(Eviction::ForNewClient);
+            registry.evict_one(EvictionReason::RegistryFull);
             let _ = timeout(RETRY_INTERVAL, registry.changed()).await;
         }
     }
--- a/crates/node/src/downstream/mod.rs
+++ b/crates/node/src/downstream/mod.rs
@@ -1,21 +1,23 @@
 //! The downstream side: accepts client connections, reads requests, and writes the final responses.
 //!
-//! A [`listener`] accepts connections, the [`registry`] keeps them, and the [`server`] serves HTTP
-//! on each. It passes every request to the [`handler`], which admits it to the driver. The
-//! [`graceful_shutdown`] drains all of them.
+//! A [`listener`] accepts connections, the [`connection_registry`] keeps them, and the [`server`]
+//! serves HTTP on each. It passes every request to the [`handler`], which admits it to the driver.
+//! The [`graceful_shutdown`] drains all of them.
 
 mod connection;
+mod connection_registry;
+mod eviction;
 mod graceful_shutdown;
 mod handler;
 mod listener;
 mod open_calls;
 mod options;
-mod registry;
 mod request_body;
 mod request_error;
 mod request_parser;
 mod response;
 mod server;
+mod timeouts;
 
 pub use options::{DownstreamOptions, RequestClass};
 
@@ -23,10 +25,10 @@
 use crate::logging::log;
 use crate::memory_budget::Budget;
 use crate::message::Message;
+use connection_registry::ConnectionRegistry;
 use graceful_shutdown::{GracefulShutdown, ShutdownPhase};
 use handler::RequestHandler;
 use listener::Acceptor;
-use registry::ConnectionRegistry;
 use server::Server;
 use std::cell::Cell;
 use std::rc::Rc;
--- a/crates/node/src/downstream/server.rs
+++ b/crates/node/src/downstream/server.rs
@@ -1,10 +1,11 @@
 //! Serves HTTP/1.1 on accepted connections.
 
 use super::connection::Connection;
+use super::connection_registry::ConnectionRegistry;
 use super::graceful_shutdown::ShutdownPhase;
 use super::handler::RequestHandler;
-use super::registry::ConnectionRegistry;
 use super::response::{self, FullResponse};
+use super::timeouts::READ_TIMEOUT;
 use crate::limits::READ_BUFFER_BYTES;
 use crate::socket::Socket;
 use hyper::Request;
@@ -70,7 +71,7 @@
     async fn serve_http(&self, socket: Socket, connection: &Connection) {
         let service = service_fn(|request| self.respond(connection, request));
         let http = http1::Builder::new()
-            // Its timeout would run on idle connections too: `Connection::enforce_timeouts` tells
+            // Its timeout would run on idle connections too: `timeouts` tells
             // them apart.
             .header_read_timeout(None)
             .max_buf_size(READ_BUFFER_BYTES)
@@ -91,7 +92,7 @@
         connection: &Connection,
         request: Request<Incoming>,
     ) -> Result<FullResponse, Infallible> {
-        let read_deadline = connection.begin_request();
+        let read_deadline = connection.begin_request() + READ_TIMEOUT;
         let result = self.handler.handle(request, read_deadline).await;
         // After a malformed request nobody can tell where the next one begins.
         let is_last = result.is_err() || self.phase.get().is_draining();
