--- a/crates/node/src/downstream/listener.rs
+++ b/crates/node/src/downstream/listener.rs
@@ -1,9 +1,11 @@
 //! Accepts client connections up to the configured limit.
 
+mod accept_error;
+
 use super::eviction::EvictionReason;
 use super::server::Server;
 use crate::logging::log_peer;
-use rustix::io::Errno;
+use accept_error::AcceptErrorKind;
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,45 +15,21 @@
 
 /// How long to wait after a failed accept, and before evicting another connection.
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
+/// How many connections are accepted at most before the listener is closed: as many as the kernel's
+/// queue holds. Without a limit, clients that connect again at once would keep the queue filled,
+/// and the shutdown waiting, for good.
+const MAX_QUEUED_CONNECTIONS: usize = 1024;
+/// How often in a row accepting the last connections may fail. Closing the listener resets the
+/// connections that are left in the queue, so that single failures are passed over.
+const MAX_LAST_FAILURES: u32 = 16;
 
-/// What a failed accept means for the connections that there are. Linux documents the errors in
-/// accept(2).
-enum AcceptFailure {
-    /// This process has no descriptor left: closing a connection helps.
-    OutOfDescriptors,
-    /// The system is short of something that is not this process's to free.
-    SystemResources,
-    /// The connection to be accepted has failed, or the call was interrupted. The next one may
-    /// succeed.
-    OneConnection,
-}
-
-impl AcceptFailure {
-    fn of(error: &io::Error) -> Self {
-        match Errno::from_io_error(error) {
-            Some(Errno::MFILE) => AcceptFailure::OutOfDescriptors,
-            Some(
-                Errno::CONNABORTED
-                | Errno::INTR
-                | Errno::PROTO
-                | Errno::NETDOWN
-                | Errno::NOPROTOOPT
-                | Errno::HOSTDOWN
-                | Errno::NONET
-                | Errno::HOSTUNREACH
-                | Errno::OPNOTSUPP
-                | Errno::NETUNREACH
-                | Errno::TIMEDOUT,
-            ) => AcceptFailure::OneConnection,
-            // ENFILE, ENOBUFS, ENOMEM, and what is not documented.
-            _ => AcceptFailure::SystemResources,
-        }
-    }
-}
-
-/// Where connections are accepted.
+/// A source of new connections.
 pub trait Listener {
-    /// Accepts one connection. May be cancelled, and loses none then.
+    /// Accepts one connection. May be cancelled, and loses no connection then.
+    ///
+    /// # Errors
+    ///
+    /// Returns the error of accept(2). All errors are temporary.
     async fn accept(&mut self) -> io::Result<TcpStream>;
 }
 
@@ -62,13 +40,6 @@
     }
 }
 
-/// As many connections as the kernel's queue holds. Clients that come again at once would otherwise
-/// keep it filled, and the shutdown waiting, for good.
-const MAX_QUEUED_CONNECTIONS: usize = 1024;
-/// How often in a row accepting the last connections may fail: closing the listener resets those
-/// that are left.
-const MAX_LAST_FAILURES: u32 = 16;
-
 /// Accepts connections and hands them to the server.
 pub struct Acceptor<L> {
     listener: L,
@@ -79,7 +50,7 @@
 }
 
 impl<L: Listener> Acceptor<L> {
-    /// An acceptor for the listener's connections.
+    /// Creates an acceptor for the listener's connections.
     pub fn new(listener: L, server: Rc<Server>) -> Self {
         Acceptor {
             listener,
@@ -122,7 +93,7 @@
         }
     }
 
-    /// Accepts one connection. All failures are temporary.
+    /// Accepts one connection, which is pending then, or recovers from a failure.
     async fn accept(&mut self) {
         match self.listener.accept().await {
             Ok(stream) => self.pending = Some(stream),
@@ -130,21 +101,22 @@
         }
     }
 
-    /// Does what helps against a failure, and waits as long as it needs.
+    /// Takes the measure that helps against an accept error, and waits before the next accept.
     async fn recover(&self, error: io::Error) {
         log_peer(format_args!("cannot accept: {error}"));
-        match AcceptFailure::of(&error) {
-            // A turn of the loop for the others, should the next ones have failed as well.
-            AcceptFailure::OneConnection => return yield_now().await,
-            AcceptFailure::OutOfDescriptors => self
-                .server
-                .registry()
-                .evict_one(EvictionReason::OutOfDescriptors),
-            AcceptFailure::SystemResources => {}
+        match AcceptErrorKind::from(&error) {
+            // The next accepts may fail as well, so the other tasks get a turn.
+            AcceptErrorKind::OneConnection => return yield_now().await,
+            AcceptErrorKind::OutOfDescriptors => {
+                let registry = self.server.registry();
+                registry.evict_one(EvictionReason::OutOfDescriptors);
+            }
+            AcceptErrorKind::SystemResources => {}
         }
         sleep(RETRY_INTERVAL).await;
     }
 
+    /// Evicts idle connections until the registry is not full.
     async fn wait_for_capacity(&self) {
         let registry = self.server.registry();
         while registry.is_full() {
