--- a/crates/node/src/downstream/listener/tests.rs
+++ b/crates/node/src/downstream/listener/tests.rs
@@ -1,32 +1,60 @@
 //! Accepts that fail in the ways that Linux documents. The listener is scripted: a test cannot make
-//! the system run out of anything without doing so to everything else on the machine.
+//! the system run out of a resource without doing so to everything else on the machine.
 
-use super::*;
+use super::{Acceptor, Listener, Server};
 use crate::clock::Clock;
 use crate::downstream::{Downstream, DownstreamOptions};
 use crate::memory_budget::Budget;
 use crate::socket::fault_injection::InjectedFaults;
 use rustix::io::Errno;
 use std::cell::Cell;
-use std::io::ErrorKind;
+use std::io::{self, ErrorKind};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 use tokio::task::{LocalSet, spawn_local};
+use tokio::time::sleep;
 
 const MAX_CONNECTIONS: usize = 64;
-/// What the kernel may take to hand on what was written, in real time.
-const KERNEL: Duration = Duration::from_millis(1);
+const BUDGET_BYTES: usize = 1 << 20;
+/// How long the kernel may take to hand on what was written, in real time.
+const KERNEL_DELAY: Duration = Duration::from_millis(1);
+/// How long the node may take to serve a new connection, in virtual time.
+const ACCEPT_DELAY: Duration = Duration::from_millis(30);
 
-/// Fails so many times for each connection that there is to be accepted.
+/// The accept errors of a [`FailingListener`], shared with its test.
+#[derive(Clone, Default)]
+struct AcceptErrors {
+    /// How often the listener fails for each connection that it accepts from now on.
+    per_connection: Rc<Cell<u32>>,
+    /// How often it has failed.
+    count: Rc<Cell<u32>>,
+}
+
+/// A listener that fails before each connection that it accepts.
 struct FailingListener {
     listener: TcpListener,
     errno: Errno,
-    /// How often it fails from now on.
-    failures_each: Rc<Cell<u32>>,
-    failures_left: u32,
-    /// The connection that the failures hold up.
+    errors: AcceptErrors,
+    /// How often it still fails before it returns the waiting connection.
+    errors_left: u32,
+    /// The connection that the errors hold up.
     waiting: Option<TcpStream>,
-    failures: Rc<Cell<u32>>,
+}
+
+impl FailingListener {
+    fn new(listener: TcpListener, errno: Errno, errors: AcceptErrors) -> Self {
+        FailingListener {
+            listener,
+            errno,
+            errors,
+            errors_left: 0,
+            waiting: None,
+        }
+    }
 }
 
 impl Listener for FailingListener {
@@ -34,17 +62,76 @@
         if self.waiting.is_none() {
             let (stream, _) = self.listener.accept().await?;
             self.waiting = Some(stream);
-            self.failures_left = self.failures_each.get();
+            self.errors_left = self.errors.per_connection.get();
         }
-        if self.failures_left > 0 {
-            self.failures_left -= 1;
-            self.failures.set(self.failures.get() + 1);
+        if self.errors_left > 0 {
+            self.errors_left -= 1;
+            self.errors.count.set(self.errors.count.get() + 1);
             return Err(self.errno.into());
         }
         self.waiting.take().ok_or(ErrorKind::WouldBlock.into())
     }
 }
 
+/// How a request ended for its client.
+#[derive(Debug, PartialEq, Eq)]
+enum RequestEnd {
+    /// It was answered with status 200.
+    Served,
+    /// The connection ended without that, or carried something else.
+    NotServed,
+}
+
+/// A client with one connection.
+struct Client(TcpStream);
+
+impl Client {
+    /// Connects, and waits until the node has accepted the connection.
+    async fn connect(address: SocketAddr) -> Client {
+        let stream = TcpStream::connect(address).await.expect("the node listens");
+        // Virtual time does not advance before the kernel has handed the connection on.
+        std::thread::sleep(KERNEL_DELAY);
+        sleep(ACCEPT_DELAY).await;
+        Client(stream)
+    }
+
+    async fn connect_several(address: SocketAddr, count: u32) -> Vec<Client> {
+        let mut clients = Vec::new();
+        for _ in 0..count {
+            clients.push(Client::connect(address).await);
+        }
+        clients
+    }
+
+    /// Connects, sends a request, and reads its response, so that the connection is idle.
+    async fn connect_and_request(address: SocketAddr) -> Client {
+        let mut client = Client::connect(address).await;
+        assert_eq!(client.request().await, RequestEnd::Served);
+        client.read_rest();
+        client
+    }
+
+    /// Sends a request, and reads the status of its response.
+    async fn request(&mut self) -> RequestEnd {
+        let request = b"GET /health/ready HTTP/1.1\r\nHost: service.internal\r\n\r\n";
+        let mut response = [0; 12];
+        if self.0.write_all(request).await.is_err() {
+            return RequestEnd::NotServed;
+        }
+        match self.0.read(&mut response).await {
+            Ok(count) if response[..count].starts_with(b"HTTP/1.1 200") => RequestEnd::Served,
+            Ok(_) | Err(_) => RequestEnd::NotServed,
+        }
+    }
+
+    /// Reads what is left of a response.
+    fn read_rest(&mut self) {
+        std::thread::sleep(KERNEL_DELAY);
+        let mut rest = [0; 1024];
+        while self.0.try_read(&mut rest).is_ok_and(|count| count > 0) {}
+    }
+}
+
 fn server() -> Rc<Server> {
     let options = DownstreamOptions {
         max_connections: MAX_CONNECTIONS,
@@ -54,73 +141,40 @@
     };
     let (driver, _) = mpsc::channel(1);
     let is_ready = Rc::new(Cell::new(true));
-    let budget = Budget::new(1 << 20);
+    let budget = Budget::new(BUDGET_BYTES);
     Downstream::new(Clock::start(), options, budget, driver, is_ready).server
 }
 
-/// A client's connection, on which [`ask`] gets an answer.
-async fn connect(address: std::net::SocketAddr) -> TcpStream {
-    let client = TcpStream::connect(address).await.expect("the node listens");
-    // Time does not move on before the node has it.
-    std::thread::sleep(KERNEL);
-    sleep(Duration::from_millis(30)).await;
-    client
+async fn bind() -> (TcpListener, SocketAddr) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let address = listener.local_addr().expect("its address");
+    (listener, address)
 }
 
-/// Whether the client's request is answered.
-async fn ask(client: &mut TcpStream) -> bool {
-    let request = b"GET /health/ready HTTP/1.1\r\nHost: service.internal\r\n\r\n";
-    let mut answer = [0; 12];
-    client.write_all(request).await.is_ok()
-        && client
-            .read(&mut answer)
-            .await
-            .is_ok_and(|count| answer[..count].starts_with(b"HTTP/1.1 200"))
-}
-
-/// Drains what is left of an answer.
-async fn drain(client: &mut TcpStream) {
-    std::thread::sleep(KERNEL);
-    let mut rest = [0; 1024];
-    while client.try_read(&mut rest).is_ok_and(|count| count > 0) {}
-}
-
-/// What a test sets and sees of a failing listener.
-struct Failures {
-    each: Rc<Cell<u32>>,
-    count: Rc<Cell<u32>>,
-}
-
-/// Plays clients against a listener that fails with that error, as soon as the test sets how often.
-fn with_failures(errno: Errno, test: impl AsyncFnOnce(std::net::SocketAddr, Failures)) {
+fn in_virtual_time(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
         .build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("its address");
-        let failures = Failures {
-            each: Rc::default(),
-            count: Rc::default(),
-        };
-        let failing = FailingListener {
-            listener,
-            errno,
-            failures_each: failures.each.clone(),
-            failures_left: 0,
-            waiting: None,
-            failures: failures.count.clone(),
-        };
+    LocalSet::new().block_on(&runtime.expect("a runtime"), test);
+}
+
+/// Runs a test's clients against an acceptor whose listener fails with `errno`, as often as the
+/// test sets.
+fn with_accept_errors(errno: Errno, test: impl AsyncFnOnce(SocketAddr, AcceptErrors)) {
+    in_virtual_time(async {
+        let (listener, address) = bind().await;
+        let errors = AcceptErrors::default();
+        let failing = FailingListener::new(listener, errno, errors.clone());
         let mut acceptor = Acceptor::new(failing, server());
         let running = spawn_local(async move { acceptor.run().await });
-        test(address, failures).await;
+        test(address, errors).await;
         running.abort();
-    })
+    });
 }
 
 #[test]
-fn a_failed_accept_closes_no_connection_unless_this_process_has_no_descriptor_left() {
+fn accept_errors_other_than_emfile_close_no_connection() {
     const CLIENTS: u32 = 12;
     for errno in [
         Errno::CONNABORTED,
@@ -130,106 +184,79 @@
         Errno::PROTO,
         Errno::INTR,
     ] {
-        with_failures(errno, async |address, failures| {
-            failures.each.set(3);
-            let mut clients = Vec::new();
-            for _ in 0..CLIENTS {
-                clients.push(connect(address).await);
-            }
+        with_accept_errors(errno, async |address, errors| {
+            errors.per_connection.set(3);
+            let mut clients = Client::connect_several(address, CLIENTS).await;
             for client in &mut clients {
-                assert!(
-                    ask(client).await,
-                    "{errno:?}: a client was closed with no answer"
-                );
+                assert_eq!(client.request().await, RequestEnd::Served, "{errno:?}");
             }
-            assert_eq!(failures.count.get(), CLIENTS * 3, "{errno:?} is reached");
+            assert_eq!(errors.count.get(), CLIENTS * 3, "{errno:?} is reached");
         });
     }
 }
 
-/// One that has just connected may have sent its request, which is lost with it; one whose request
-/// was answered sends its next one again elsewhere.
+/// The request of a client that has just connected may be lost with its connection; one that was
+/// served sends its next request again on a new connection.
 #[test]
-fn without_descriptors_a_connection_whose_first_request_may_be_on_its_way_is_closed_last() {
-    with_failures(Errno::MFILE, async |address, failures| {
-        let mut served = connect(address).await;
-        assert!(ask(&mut served).await);
-        drain(&mut served).await;
-        let mut new = connect(address).await;
-        failures.each.set(1);
-        let mut third = connect(address).await;
-        assert!(ask(&mut new).await, "the new client was closed");
-        assert!(ask(&mut third).await);
-        assert!(!ask(&mut served).await, "the served one was to be closed");
-        assert_eq!(failures.count.get(), 1);
+fn emfile_evicts_new_connections_last() {
+    with_accept_errors(Errno::MFILE, async |address, errors| {
+        let mut served = Client::connect_and_request(address).await;
+        let mut new = Client::connect(address).await;
+        errors.per_connection.set(1);
+        let mut third = Client::connect(address).await;
+        assert_eq!(new.request().await, RequestEnd::Served, "new");
+        assert_eq!(third.request().await, RequestEnd::Served, "third");
+        assert_eq!(served.request().await, RequestEnd::NotServed, "served");
+        assert_eq!(errors.count.get(), 1);
     });
 }
 
 #[test]
-fn without_descriptors_a_client_that_says_nothing_is_closed_before_one_that_is_served() {
-    with_failures(Errno::MFILE, async |address, failures| {
-        let mut silent = connect(address).await;
-        let mut served = connect(address).await;
-        assert!(ask(&mut served).await);
-        drain(&mut served).await;
+fn emfile_evicts_silent_clients_before_served_ones() {
+    with_accept_errors(Errno::MFILE, async |address, errors| {
+        let mut silent = Client::connect(address).await;
+        let mut served = Client::connect_and_request(address).await;
         sleep(Duration::from_millis(500)).await;
-        failures.each.set(1);
-        let _third = connect(address).await;
-        assert!(ask(&mut served).await, "the served one was closed");
-        assert!(!ask(&mut silent).await, "the silent one was to be closed");
+        errors.per_connection.set(1);
+        let _third = Client::connect(address).await;
+        assert_eq!(served.request().await, RequestEnd::Served, "served");
+        assert_eq!(silent.request().await, RequestEnd::NotServed, "silent");
     });
 }
 
 /// At the shutdown the connections in the queue are accepted once more, and the listener closes.
 #[test]
-fn a_failed_accept_does_not_close_the_listener_on_the_connections_in_its_queue() {
+fn accept_errors_at_shutdown_lose_no_queued_connection() {
     const CLIENTS: u32 = 5;
     for errno in [Errno::CONNABORTED, Errno::NFILE] {
-        let runtime = tokio::runtime::Builder::new_current_thread()
-            .enable_all()
-            .start_paused(true)
-            .build();
-        LocalSet::new().block_on(&runtime.expect("a runtime"), async {
-            let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-            let address = listener.local_addr().expect("its address");
-            let mut clients = Vec::new();
-            for _ in 0..CLIENTS {
-                clients.push(connect(address).await);
-            }
-            let count = Rc::new(Cell::new(0));
-            let failing = FailingListener {
-                listener,
-                errno,
-                failures_each: Rc::new(Cell::new(3)),
-                failures_left: 0,
-                waiting: None,
-                failures: count.clone(),
-            };
+        in_virtual_time(async {
+            let (listener, address) = bind().await;
+            let mut clients = Client::connect_several(address, CLIENTS).await;
+            let errors = AcceptErrors::default();
+            errors.per_connection.set(3);
+            let failing = FailingListener::new(listener, errno, errors.clone());
             Acceptor::new(failing, server()).finish().await;
             for client in &mut clients {
-                assert!(
-                    ask(client).await,
-                    "{errno:?}: a client in the queue was closed with no answer"
-                );
+                assert_eq!(client.request().await, RequestEnd::Served, "{errno:?}");
             }
-            assert_eq!(count.get(), CLIENTS * 3);
+            assert_eq!(errors.count.get(), CLIENTS * 3);
         });
     }
 }
 
 #[test]
-fn an_interrupted_or_short_call_costs_no_client_its_answer() {
-    for fault in [
+fn interrupted_and_short_system_calls_lose_no_response() {
+    for inject_faults in [
         || InjectedFaults::errors(Errno::INTR, 2),
         InjectedFaults::short_reads,
     ] {
-        with_failures(Errno::INTR, async |address, _| {
-            let faults = fault();
+        with_accept_errors(Errno::INTR, async |address, _| {
+            let faults = inject_faults();
             for _ in 0..10 {
-                let mut client = connect(address).await;
+                let mut client = Client::connect(address).await;
                 for _ in 0..2 {
-                    assert!(ask(&mut client).await, "a client was closed with no answer");
-                    drain(&mut client).await;
+                    assert_eq!(client.request().await, RequestEnd::Served);
+                    client.read_rest();
                 }
             }
             assert!(faults.count() >= 20, "{} faults", faults.count());
--- a/crates/node/src/downstream/request_error/tests.rs
+++ b/crates/node/src/downstream/request_error/tests.rs
@@ -1,24 +1,48 @@
-use super::RequestError::{self, *};
+use super::RequestError;
 
 /// What clients read is part of the protocol.
 #[test]
-fn statuses_and_texts_are_as_published() {
+fn statuses_and_texts_are_those_of_the_protocol() {
     let published: [(RequestError, u16, &str); 15] = [
-        (TransferEncoding, 411, "no Transfer-Encoding, please"),
-        (UnknownLength, 400, "no length"),
-        (BodyTooLarge, 413, "body over 64 KiB"),
-        (NoPath, 400, "no path"),
-        (UnknownClass, 404, "unknown class"),
-        (RepeatedHeader, 400, "a header stands twice"),
-        (WrongMethod, 405, "wrong method for this class"),
-        (UnexpectedBody, 400, "a body where none belongs"),
-        (MissingIdempotencyKey, 400, "no Idempotency-Key"),
-        (InvalidCallId, 400, "no X-Call-Id"),
-        (InvalidBudget, 400, "no X-Budget-Ms that makes sense"),
-        (UnknownTenant, 403, "unknown tenant"),
-        (ReadTimeout, 408, "too slow"),
-        (IncompleteBody, 400, "broken body"),
-        (CallInFlight, 409, "a request with this X-Call-Id is open"),
+        (
+            RequestError::TransferEncoding,
+            411,
+            "no Transfer-Encoding, please",
+        ),
+        (RequestError::UnknownLength, 400, "no length"),
+        (RequestError::BodyTooLarge, 413, "body over 64 KiB"),
+        (RequestError::NoPath, 400, "no path"),
+        (RequestError::UnknownClass, 404, "unknown class"),
+        (RequestError::RepeatedHeader, 400, "a header stands twice"),
+        (
+            RequestError::WrongMethod,
+            405,
+            "wrong method for this class",
+        ),
+        (
+            RequestError::UnexpectedBody,
+            400,
+            "a body where none belongs",
+        ),
+        (
+            RequestError::MissingIdempotencyKey,
+            400,
+            "no Idempotency-Key",
+        ),
+        (RequestError::InvalidCallId, 400, "no X-Call-Id"),
+        (
+            RequestError::InvalidBudget,
+            400,
+            "no X-Budget-Ms that makes sense",
+        ),
+        (RequestError::UnknownTenant, 403, "unknown tenant"),
+        (RequestError::ReadTimeout, 408, "too slow"),
+        (RequestError::IncompleteBody, 400, "broken body"),
+        (
+            RequestError::CallInFlight,
+            409,
+            "a request with this X-Call-Id is open",
+        ),
     ];
     for (error, status, text) in published {
         assert_eq!(
