--- a/crates/node/src/downstream/handler.rs
+++ b/crates/node/src/downstream/handler.rs
@@ -1,7 +1,7 @@
 //! Handles one request: checks and reads it, admits it, and waits for its final response.
 
 use super::graceful_shutdown::ShutdownPhase;
-use super::open_calls::OpenCalls;
+use super::in_flight_call_ids::InFlightCallIds;
 use super::options::DownstreamOptions;
 use super::request_body;
 use super::request_error::RequestError;
@@ -42,7 +42,7 @@
     /// Whether the node has an endpoint list.
     is_ready: Rc<Cell<bool>>,
     phase: Rc<Cell<ShutdownPhase>>,
-    open_calls: OpenCalls,
+    in_flight_call_ids: InFlightCallIds,
     last_request_id: Cell<u64>,
 }
 
@@ -71,7 +71,7 @@
             driver,
             is_ready,
             phase,
-            open_calls: OpenCalls::default(),
+            in_flight_call_ids: InFlightCallIds::default(),
             last_request_id: Cell::new(0),
         }
     }
@@ -130,9 +130,9 @@
         let received = self.clock.now();
         // Endpoints could confuse the attempts of two requests with the same id.
         let call_id = request.call_id.clone();
-        let _open_call = self
-            .open_calls
-            .open(&call_id)
+        let _reservation = self
+            .in_flight_call_ids
+            .reserve(&call_id)
             .ok_or(RequestError::CallInFlight)?;
         let answer = self.submit(request, body, received).await;
         Ok(response::final_response(answer))
