--- /dev/null
+++ b/crates/node/src/downstream/admission.rs
@@ -0,0 +1,107 @@
+//! The admission of requests whose head has been checked: leases memory for the body, reads it, and
+//! reserves the call id.
+
+use super::graceful_shutdown::ShutdownPhase;
+use super::in_flight_call_ids::{CallIdReservation, InFlightCallIds};
+use super::rejection::Rejection;
+use super::request_body;
+use super::request_error::RequestError;
+use super::request_parser::ParsedRequest;
+use crate::clock::Clock;
+use crate::logging::log_peer;
+use crate::memory_budget::Budget;
+use bytes::Bytes;
+use hyper::body::Incoming;
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// Admits requests.
+pub struct Admission {
+    clock: Clock,
+    /// The memory for the bodies of requests and responses.
+    budget: Budget,
+    phase: Rc<Cell<ShutdownPhase>>,
+    /// The Retry-After of shed requests; `None` for no such header.
+    retry_after: Option<Duration>,
+    in_flight_call_ids: InFlightCallIds,
+}
+
+/// A request that has been read to its last byte.
+pub struct ReceivedRequest {
+    /// The parsed head.
+    pub head: ParsedRequest,
+    /// The body, together with its lease of the memory budget.
+    pub body: Bytes,
+    /// When the last byte was read.
+    pub received: Duration,
+}
+
+/// A request that may be passed to the driver.
+pub struct AdmittedRequest<'a> {
+    /// The request.
+    pub request: ReceivedRequest,
+    /// Keeps the request's call id in use.
+    pub call_id_reservation: CallIdReservation<'a>,
+}
+
+impl Admission {
+    /// Creates an admission that leases memory from the budget. Requests that it sheds get
+    /// `retry_after` as their Retry-After.
+    pub fn new(
+        clock: Clock,
+        budget: Budget,
+        phase: Rc<Cell<ShutdownPhase>>,
+        retry_after: Option<Duration>,
+    ) -> Self {
+        Admission {
+            clock,
+            budget,
+            phase,
+            retry_after,
+            in_flight_call_ids: InFlightCallIds::default(),
+        }
+    }
+
+    /// Reads the request's body until `read_deadline`, and admits the request.
+    ///
+    /// # Errors
+    ///
+    /// Rejects the request if there is no memory for its body, if the body does not arrive whole
+    /// and in time, if further requests are shed, or if its call id is in use.
+    pub async fn admit(
+        &self,
+        head: ParsedRequest,
+        body: Incoming,
+        read_deadline: Instant,
+    ) -> Result<AdmittedRequest<'_>, Rejection> {
+        let Some(lease) = self.budget.lease(head.body_length) else {
+            log_peer("memory budget exhausted: request shed");
+            return Err(self.shed());
+        };
+        let body = request_body::read(body, head.body_length, lease, read_deadline).await?;
+        if self.phase.get().sheds_requests() {
+            return Err(self.shed());
+        }
+        let received = self.clock.now();
+        let call_id_reservation = self
+            .in_flight_call_ids
+            .reserve(&head.call_id)
+            .ok_or(RequestError::CallInFlight)?;
+        Ok(AdmittedRequest {
+            request: ReceivedRequest {
+                head,
+                body,
+                received,
+            },
+            call_id_reservation,
+        })
+    }
+
+    fn shed(&self) -> Rejection {
+        Rejection::Shed {
+            retry_after: self.retry_after,
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/downstream/driver_handle.rs
@@ -0,0 +1,91 @@
+//! The submission of admitted requests to the driver.
+
+use super::admission::{AdmittedRequest, ReceivedRequest};
+use super::disconnect_guard::DisconnectGuard;
+use crate::message::{FinalResponse, ForwardedRequest, IncomingRequest, Message};
+use ottertiller_balancer::{NewRequest, RequestId};
+use std::cell::{Cell, RefCell};
+use tokio::sync::{mpsc, oneshot};
+
+/// Passes requests to the driver.
+pub struct DriverHandle {
+    inbox: mpsc::Sender<Message>,
+    last_request_id: Cell<u64>,
+}
+
+impl DriverHandle {
+    /// Creates a handle for the driver with this inbox.
+    pub fn new(inbox: mpsc::Sender<Message>) -> Self {
+        DriverHandle {
+            inbox,
+            last_request_id: Cell::new(0),
+        }
+    }
+
+    /// Passes a request to the driver, and waits for its final response. If the returned future is
+    /// dropped before that, the driver is told that the client has disconnected.
+    pub async fn submit(&self, admitted: AdmittedRequest<'_>) -> FinalResponse {
+        let AdmittedRequest {
+            request,
+            call_id_reservation: _reservation,
+        } = admitted;
+        let id = self.next_request_id();
+        let (reply, final_response) = oneshot::channel();
+        // Reserved now, since a drop cannot wait for a slot in the driver's inbox.
+        let Ok(permit) = self.inbox.clone().reserve_owned().await else {
+            return FinalResponse::Failed;
+        };
+        let mut disconnect_guard = DisconnectGuard::new(id, permit);
+        let message = Message::Request(Box::new(incoming_request(id, request, reply)));
+        if self.inbox.send(message).await.is_err() {
+            return FinalResponse::Failed;
+        }
+        let final_response = final_response.await.unwrap_or(FinalResponse::Failed);
+        disconnect_guard.disarm();
+        final_response
+    }
+
+    fn next_request_id(&self) -> RequestId {
+        let id = self.last_request_id.get() + 1;
+        self.last_request_id.set(id);
+        RequestId(id)
+    }
+}
+
+/// Converts a request to the driver's message.
+fn incoming_request(
+    id: RequestId,
+    request: ReceivedRequest,
+    reply: oneshot::Sender<FinalResponse>,
+) -> IncomingRequest {
+    let ReceivedRequest {
+        head,
+        body,
+        received,
+    } = request;
+    let forward = ForwardedRequest {
+        method: head.method,
+        path: head.path,
+        call_id: head.call_id,
+        idempotency_key: head.idempotency_key,
+        body: RefCell::new(Some(body)),
+        deadline: received + head.budget,
+        idempotency_window: head.idempotency_window,
+        first_byte: Cell::new(None),
+    };
+    let request = NewRequest {
+        id,
+        class: head.class,
+        tenant: head.tenant,
+        key: head.key,
+        remaining: head.budget,
+        cost_hint: head.cost,
+        client_retry: head.is_client_retry,
+    };
+    IncomingRequest {
+        request,
+        received,
+        forward,
+        reply,
+    }
+}
--- a/crates/node/src/downstream/mod.rs
+++ b/crates/node/src/downstream/mod.rs
@@ -1,19 +1,27 @@
 //! The downstream side: accepts client connections, reads requests, and writes the final responses.
 //!
-//! A [`listener`] accepts connections, the [`connection_registry`] keeps them, and the [`server`]
-//! serves HTTP on each. It passes every request to the [`handler`], which admits it to the driver.
-//! The [`graceful_shutdown`] drains all of them.
+//! A [`listener`] accepts connections, the [`connection_registry`] keeps them, and the
+//! [`server`] serves HTTP on each [`connection`]. [`timeouts`] and [`eviction`] close them,
+//! and the [`graceful_shutdown`] drains them.
+//!
+//! The [`request_handler`] takes each request through the [`request_parser`] and [`admission`],
+//! where it may end in a [`rejection`], and through the [`driver_handle`] to the driver.
 
+mod admission;
 mod connection;
 mod connection_registry;
+mod disconnect_guard;
+mod driver_handle;
 mod eviction;
 mod graceful_shutdown;
-mod handler;
 mod in_flight_call_ids;
 mod listener;
 mod options;
+mod readiness;
+mod rejection;
 mod request_body;
 mod request_error;
+mod request_handler;
 mod request_parser;
 mod response;
 mod server;
@@ -25,10 +33,13 @@
 use crate::logging::log;
 use crate::memory_budget::Budget;
 use crate::message::Message;
+use admission::Admission;
 use connection_registry::ConnectionRegistry;
+use driver_handle::DriverHandle;
 use graceful_shutdown::{GracefulShutdown, ShutdownPhase};
-use handler::RequestHandler;
 use listener::Acceptor;
+use readiness::Readiness;
+use request_handler::RequestHandler;
 use server::Server;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -61,7 +72,10 @@
             driver: driver.clone(),
             drain_timeout: options.longest_deadline(),
         };
-        let handler = RequestHandler::new(clock, options, budget, driver, is_ready, phase.clone());
+        let readiness = Readiness::new(is_ready, phase.clone());
+        let admission = Admission::new(clock, budget, phase.clone(), options.max_retry_after);
+        let driver = DriverHandle::new(driver);
+        let handler = RequestHandler::new(options, readiness, admission, driver);
         let server = Rc::new(Server::new(handler, registry.clone(), phase));
         Downstream {
             server,
--- a/crates/node/src/downstream/request_body.rs
+++ b/crates/node/src/downstream/request_body.rs
@@ -1,13 +1,27 @@
-//! Reading of request bodies.
+//! Reads the bodies of requests, and discards those of rejected ones.
 
 use super::request_error::RequestError;
+use crate::limits::MAX_BODY_BYTES;
 use crate::memory_budget::Lease;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
-use hyper::body::Incoming;
+use hyper::body::{Frame, Incoming};
+use std::time::Duration;
+use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout_at};
 
-/// Reads a body of the given length, for which memory has been leased, until the deadline.
+/// How many bytes of a rejected request's body are read and discarded at most.
+const MAX_DISCARDED_BYTES: usize = 16 * MAX_BODY_BYTES;
+/// How long the body of a rejected request is read and discarded: half the time after which a
+/// closing connection is aborted.
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Reads a body of `length` bytes, for which memory has been leased, until the deadline.
+///
+/// # Errors
+///
+/// Returns [`RequestError::ReadTimeout`] if the deadline passes, and
+/// [`RequestError::IncompleteBody`] if the body cannot be read or has another length.
 pub async fn read(
     mut body: Incoming,
     length: usize,
@@ -18,12 +32,7 @@
         return Ok(Bytes::new());
     }
     let mut content = BytesMut::with_capacity(length);
-    loop {
-        let frame = timeout_at(deadline, body.frame())
-            .await
-            .map_err(|_| RequestError::ReadTimeout)?;
-        let Some(frame) = frame else { break };
-        let frame = frame.map_err(|_| RequestError::IncompleteBody)?;
+    while let Some(frame) = next_frame(&mut body, deadline).await? {
         if let Ok(data) = frame.into_data() {
             content.extend_from_slice(&data);
         }
@@ -34,10 +43,27 @@
     Ok(lease.keep(content.freeze()))
 }
 
-/// Reads and drops the body of a rejected request, up to a number of bytes and a deadline. If the
-/// connection was closed with bytes unread, it would be reset, and its client might not see the
-/// response.
-pub async fn discard(mut body: Incoming, max_bytes: usize, deadline: Instant) {
+/// Reads the next frame of a body; `None` at its end.
+async fn next_frame(
+    body: &mut Incoming,
+    deadline: Instant,
+) -> Result<Option<Frame<Bytes>>, RequestError> {
+    timeout_at(deadline, body.frame())
+        .await
+        .map_err(|_| RequestError::ReadTimeout)?
+        .transpose()
+        .map_err(|_| RequestError::IncompleteBody)
+}
+
+/// Reads and drops the body of a rejected request in a task of its own, within limits of size and
+/// time. If the connection was closed with bytes unread, it would be reset, and its client might
+/// not see the response.
+pub fn discard_in_background(body: Incoming) {
+    let deadline = Instant::now() + DISCARD_TIMEOUT;
+    spawn_local(discard(body, MAX_DISCARDED_BYTES, deadline));
+}
+
+async fn discard(mut body: Incoming, max_bytes: usize, deadline: Instant) {
     let mut discarded = 0;
     while let Ok(Some(Ok(frame))) = timeout_at(deadline, body.frame()).await {
         discarded += frame.data_ref().map_or(0, Bytes::len);
--- /dev/null
+++ b/crates/node/src/downstream/request_handler.rs
@@ -0,0 +1,91 @@
+//! Handles one request: checks its head, admits it, and waits for its final response.
+
+use super::admission::Admission;
+use super::driver_handle::DriverHandle;
+use super::options::DownstreamOptions;
+use super::readiness::{self, Readiness};
+use super::rejection::Rejection;
+use super::request_body;
+use super::request_error::RequestError;
+use super::request_parser::{self, ParsedRequest};
+use super::response::{self, FullResponse};
+use hyper::Request;
+use hyper::body::Incoming;
+use hyper::http::request::Parts;
+use tokio::time::Instant;
+
+/// Handles the requests of all connections.
+pub struct RequestHandler {
+    options: DownstreamOptions,
+    readiness: Readiness,
+    admission: Admission,
+    driver: DriverHandle,
+}
+
+/// What a request's head asks for.
+enum Route {
+    /// The node's own readiness.
+    ReadinessCheck,
+    /// A response of an endpoint.
+    Forward(Box<ParsedRequest>),
+}
+
+impl RequestHandler {
+    /// Creates a handler that passes admitted requests to the driver.
+    pub fn new(
+        options: DownstreamOptions,
+        readiness: Readiness,
+        admission: Admission,
+        driver: DriverHandle,
+    ) -> Self {
+        RequestHandler {
+            options,
+            readiness,
+            admission,
+            driver,
+        }
+    }
+
+    /// Handles a request whose body must have been read by `read_deadline`, and returns its
+    /// response.
+    ///
+    /// # Errors
+    ///
+    /// Returns why the request is rejected without being passed to the driver.
+    pub async fn handle(
+        &self,
+        request: Request<Incoming>,
+        read_deadline: Instant,
+    ) -> Result<FullResponse, Rejection> {
+        let (head, body) = request.into_parts();
+        match self.route(head, &body) {
+            Ok(Route::ReadinessCheck) => Ok(self.readiness.response()),
+            Ok(Route::Forward(request)) => self.forward(*request, body, read_deadline).await,
+            Err(error) => {
+                request_body::discard_in_background(body);
+                Err(Rejection::Invalid(error))
+            }
+        }
+    }
+
+    /// Checks the head of a request. Reads nothing of its body.
+    fn route(&self, head: Parts, body: &Incoming) -> Result<Route, RequestError> {
+        let body_length = request_parser::body_length(&head, body)?;
+        if head.uri.path() == readiness::PATH {
+            return Ok(Route::ReadinessCheck);
+        }
+        let request = request_parser::parse(&self.options, head, body_length)?;
+        Ok(Route::Forward(Box::new(request)))
+    }
+
+    async fn forward(
+        &self,
+        request: ParsedRequest,
+        body: Incoming,
+        read_deadline: Instant,
+    ) -> Result<FullResponse, Rejection> {
+        let admitted = self.admission.admit(request, body, read_deadline).await?;
+        let final_response = self.driver.submit(admitted).await;
+        Ok(response::from_final_response(final_response))
+    }
+}
--- a/crates/node/src/downstream/response.rs
+++ b/crates/node/src/downstream/response.rs
@@ -1,6 +1,5 @@
 //! The responses that clients get.
 
-use super::request_error::RequestError;
 use crate::message::FinalResponse;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -11,19 +10,20 @@
 /// A response whose body is in memory.
 pub type FullResponse = Response<Full<Bytes>>;
 
-/// A response without a body.
-pub fn empty(status: StatusCode) -> FullResponse {
+/// Returns a response without a body.
+pub fn without_body(status: StatusCode) -> FullResponse {
     with_body(status, Bytes::new())
 }
 
-/// The response to a request that is not admitted.
-pub fn rejected(error: RequestError) -> FullResponse {
-    with_body(error.status(), Bytes::from(error.to_string()))
+/// Returns a response whose body is the text.
+pub fn with_text(status: StatusCode, text: String) -> FullResponse {
+    with_body(status, Bytes::from(text))
 }
 
-/// The response to a request that is shed, with the time after which the client may retry.
-pub fn shed(retry_after: Option<Duration>) -> FullResponse {
-    let mut response = empty(StatusCode::SERVICE_UNAVAILABLE);
+/// Returns the response to a request that is shed: status 503, with the time after which the client
+/// may retry, in seconds with three decimals.
+pub fn service_unavailable(retry_after: Option<Duration>) -> FullResponse {
+    let mut response = without_body(StatusCode::SERVICE_UNAVAILABLE);
     let seconds = retry_after.map(|after| format!("{:.3}", after.as_secs_f64()));
     if let Some(Ok(value)) = seconds.map(HeaderValue::try_from) {
         response.headers_mut().insert(RETRY_AFTER, value);
@@ -31,13 +31,13 @@
     response
 }
 
-/// The response that carries a final response.
-pub fn final_response(answer: FinalResponse) -> FullResponse {
-    match answer {
+/// Converts a request's final response to HTTP.
+pub fn from_final_response(final_response: FinalResponse) -> FullResponse {
+    match final_response {
         FinalResponse::Served(body) => with_body(StatusCode::OK, body),
-        FinalResponse::Shed(retry_after) => shed(retry_after),
-        FinalResponse::Failed => empty(StatusCode::BAD_GATEWAY),
-        FinalResponse::TimedOut => empty(StatusCode::GATEWAY_TIMEOUT),
+        FinalResponse::Shed(retry_after) => service_unavailable(retry_after),
+        FinalResponse::Failed => without_body(StatusCode::BAD_GATEWAY),
+        FinalResponse::TimedOut => without_body(StatusCode::GATEWAY_TIMEOUT),
     }
 }
 
--- a/crates/node/src/downstream/server.rs
+++ b/crates/node/src/downstream/server.rs
@@ -3,8 +3,9 @@
 use super::connection::Connection;
 use super::connection_registry::ConnectionRegistry;
 use super::graceful_shutdown::ShutdownPhase;
-use super::handler::RequestHandler;
-use super::response::{self, FullResponse};
+use super::rejection::Rejection;
+use super::request_handler::RequestHandler;
+use super::response::FullResponse;
 use super::timeouts::READ_TIMEOUT;
 use crate::limits::READ_BUFFER_BYTES;
 use crate::socket::Socket;
@@ -28,7 +29,7 @@
 }
 
 impl Server {
-    /// A server whose connections are kept in the registry.
+    /// Creates a server whose connections are kept in the registry.
     pub fn new(
         handler: RequestHandler,
         registry: Rc<ConnectionRegistry>,
@@ -41,7 +42,7 @@
         }
     }
 
-    /// The registry of the connections.
+    /// Returns the registry of the connections.
     pub fn registry(&self) -> &ConnectionRegistry {
         &self.registry
     }
@@ -58,6 +59,7 @@
         });
     }
 
+    /// Serves a connection until it ends, is aborted, or its client disconnects.
     async fn serve_until_ended(&self, socket: Socket, connection: &Connection) {
         // Biased: what the client has sent comes before its disconnect.
         tokio::select! {
@@ -68,6 +70,7 @@
         }
     }
 
+    /// Serves HTTP until the connection ends, gracefully if that is requested.
     async fn serve_http(&self, socket: Socket, connection: &Connection) {
         let service = service_fn(|request| self.respond(connection, request));
         let http = http1::Builder::new()
@@ -87,6 +90,7 @@
         let _ = http.await; // an error says no more than that the client disconnected
     }
 
+    /// Handles one request, and returns the response that is written to the client.
     async fn respond(
         &self,
         connection: &Connection,
@@ -94,14 +98,16 @@
     ) -> Result<FullResponse, Infallible> {
         let read_deadline = connection.begin_request() + READ_TIMEOUT;
         let result = self.handler.handle(request, read_deadline).await;
-        // After a malformed request nobody can tell where the next one begins.
-        let is_last = result.is_err() || self.phase.get().is_draining();
-        let mut response = result.unwrap_or_else(response::rejected);
+        let keeps_connection = result
+            .as_ref()
+            .err()
+            .is_none_or(Rejection::keeps_connection);
+        let is_last = !keeps_connection || self.phase.get().is_draining();
+        let mut response = result.unwrap_or_else(Rejection::into_response);
         if is_last {
             connection.end_last_request();
-            response
-                .headers_mut()
-                .insert(CONNECTION, HeaderValue::from_static("close"));
+            let close = HeaderValue::from_static("close");
+            response.headers_mut().insert(CONNECTION, close);
         } else {
             connection.end_request();
         }
