--- a/crates/node/src/downstream/server.rs
+++ b/crates/node/src/downstream/http_server.rs
@@ -22,20 +22,20 @@
 use tokio::task::spawn_local;
 
 /// Serves connections with one request handler.
-pub struct Server {
+pub struct HttpServer {
     handler: RequestHandler,
     registry: Rc<ConnectionRegistry>,
     phase: Rc<Cell<ShutdownPhase>>,
 }
 
-impl Server {
+impl HttpServer {
     /// Creates a server whose connections are kept in the registry.
     pub fn new(
         handler: RequestHandler,
         registry: Rc<ConnectionRegistry>,
         phase: Rc<Cell<ShutdownPhase>>,
     ) -> Self {
-        Server {
+        HttpServer {
             handler,
             registry,
             phase,
--- a/crates/node/src/downstream/listener.rs
+++ b/crates/node/src/downstream/listener.rs
@@ -3,7 +3,7 @@
 mod accept_error;
 
 use super::eviction::EvictionReason;
-use super::server::Server;
+use super::http_server::HttpServer;
 use crate::logging::log_peer;
 use accept_error::AcceptErrorKind;
 use std::io;
@@ -43,7 +43,7 @@
 /// Accepts connections and hands them to the server.
 pub struct Acceptor<L> {
     listener: L,
-    server: Rc<Server>,
+    server: Rc<HttpServer>,
     /// An accepted connection that waits until the registry is not full. It survives the
     /// cancellation of [`Self::run`], since its client may have sent a request already.
     pending: Option<TcpStream>,
@@ -51,7 +51,7 @@
 
 impl<L: Listener> Acceptor<L> {
     /// Creates an acceptor for the listener's connections.
-    pub fn new(listener: L, server: Rc<Server>) -> Self {
+    pub fn new(listener: L, server: Rc<HttpServer>) -> Self {
         Acceptor {
             listener,
             server,
--- a/crates/node/src/downstream/listener/tests.rs
+++ b/crates/node/src/downstream/listener/tests.rs
@@ -1,7 +1,7 @@
 //! Accepts that fail in the ways that Linux documents. The listener is scripted: a test cannot make
 //! the system run out of a resource without doing so to everything else on the machine.
 
-use super::{Acceptor, Listener, Server};
+use super::{Acceptor, HttpServer, Listener};
 use crate::clock::Clock;
 use crate::downstream::{Downstream, DownstreamOptions};
 use crate::memory_budget::Budget;
@@ -132,7 +132,7 @@
     }
 }
 
-fn server() -> Rc<Server> {
+fn server() -> Rc<HttpServer> {
     let options = DownstreamOptions {
         max_connections: MAX_CONNECTIONS,
         classes: Vec::new(),
--- a/crates/node/src/downstream/mod.rs
+++ b/crates/node/src/downstream/mod.rs
@@ -1,7 +1,7 @@
 //! The downstream side: accepts client connections, reads requests, and writes the final responses.
 //!
 //! A [`listener`] accepts connections, the [`connection_registry`] keeps them, and the
-//! [`server`] serves HTTP on each [`connection`]. [`timeouts`] and [`eviction`] close them,
+//! [`http_server`] serves HTTP on each [`connection`]. [`timeouts`] and [`eviction`] close them,
 //! and the [`graceful_shutdown`] drains them.
 //!
 //! The [`request_handler`] takes each request through the [`request_parser`] and [`admission`],
@@ -14,6 +14,7 @@
 mod driver_handle;
 mod eviction;
 mod graceful_shutdown;
+mod http_server;
 mod in_flight_call_ids;
 mod listener;
 mod options;
@@ -24,7 +25,6 @@
 mod request_handler;
 mod request_parser;
 mod response;
-mod server;
 mod timeouts;
 
 pub use options::{DownstreamOptions, RequestClass};
@@ -37,10 +37,10 @@
 use connection_registry::ConnectionRegistry;
 use driver_handle::DriverHandle;
 use graceful_shutdown::{GracefulShutdown, ShutdownPhase};
+use http_server::HttpServer;
 use listener::Acceptor;
 use readiness::Readiness;
 use request_handler::RequestHandler;
-use server::Server;
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::net::TcpListener;
@@ -49,7 +49,7 @@
 
 /// The downstream side of a node.
 pub struct Downstream {
-    server: Rc<Server>,
+    server: Rc<HttpServer>,
     registry: Rc<ConnectionRegistry>,
     graceful_shutdown: GracefulShutdown,
 }
@@ -76,7 +76,7 @@
         let admission = Admission::new(clock, budget, phase.clone(), options.max_retry_after);
         let driver = DriverHandle::new(driver);
         let handler = RequestHandler::new(options, readiness, admission, driver);
-        let server = Rc::new(Server::new(handler, registry.clone(), phase));
+        let server = Rc::new(HttpServer::new(handler, registry.clone(), phase));
         Downstream {
             server,
             registry,
