--- a/crates/node/src/downstream/mod.rs
+++ b/crates/node/src/downstream/mod.rs
@@ -23,6 +23,7 @@
 mod request_body;
 mod request_error;
 mod request_handler;
+mod request_headers;
 mod request_parser;
 mod response;
 mod timeouts;
--- /dev/null
+++ b/crates/node/src/downstream/request_headers.rs
@@ -0,0 +1,88 @@
+//! The headers of requests that this node reads: their names, limits and values.
+
+use super::request_error::RequestError;
+use hyper::header::{HeaderMap, HeaderValue};
+use std::time::Duration;
+
+const CALL_ID: &str = "x-call-id";
+/// How long the client waits from when it sends the request, in milliseconds.
+const BUDGET_MS: &str = "x-budget-ms";
+const IDEMPOTENCY_KEY: &str = "idempotency-key";
+/// The name of the tenant.
+const CALLER: &str = "x-caller";
+/// The expected work, in microseconds.
+const CALL_COST: &str = "x-call-cost";
+/// Whether the client repeats an earlier request: 1 if so.
+const CLIENT_RETRY: &str = "x-again";
+
+/// The headers that must not be repeated. An endpoint might read another of their values than this
+/// node does.
+const UNIQUE_HEADERS: [&str; 4] = [CALL_ID, BUDGET_MS, IDEMPOTENCY_KEY, CALLER];
+/// The longest budget, in milliseconds. A request with a longer one is rejected.
+const MAX_BUDGET_MS: u64 = 600_000;
+/// The longest call id, in bytes. A request with a longer one is rejected.
+const MAX_CALL_ID_BYTES: usize = 256;
+
+/// Checks that no header is repeated that must be unique.
+///
+/// # Errors
+///
+/// Returns [`RequestError::RepeatedHeader`] if one is.
+pub fn check_unique(headers: &HeaderMap) -> Result<(), RequestError> {
+    let is_repeated = |name: &str| headers.get_all(name).iter().nth(1).is_some();
+    if UNIQUE_HEADERS.into_iter().any(is_repeated) {
+        return Err(RequestError::RepeatedHeader);
+    }
+    Ok(())
+}
+
+/// Returns the call id.
+///
+/// # Errors
+///
+/// Returns [`RequestError::InvalidCallId`] if there is none, or if it is empty or too long.
+pub fn call_id(headers: &HeaderMap) -> Result<HeaderValue, RequestError> {
+    match headers.get(CALL_ID) {
+        Some(id) if (1..=MAX_CALL_ID_BYTES).contains(&id.len()) => Ok(id.clone()),
+        _ => Err(RequestError::InvalidCallId),
+    }
+}
+
+/// Returns the idempotency key, if there is one.
+pub fn idempotency_key(headers: &HeaderMap) -> Option<HeaderValue> {
+    headers.get(IDEMPOTENCY_KEY).cloned()
+}
+
+/// Returns how long the client waits.
+///
+/// # Errors
+///
+/// Returns [`RequestError::InvalidBudget`] if there is no number of milliseconds from 1 to
+/// [`MAX_BUDGET_MS`].
+pub fn budget(headers: &HeaderMap) -> Result<Duration, RequestError> {
+    let milliseconds = text(headers, BUDGET_MS).and_then(|text| text.parse::<u64>().ok());
+    match milliseconds {
+        Some(ms) if (1..=MAX_BUDGET_MS).contains(&ms) => Ok(Duration::from_millis(ms)),
+        _ => Err(RequestError::InvalidBudget),
+    }
+}
+
+/// Returns the name of the tenant, if there is one.
+pub fn tenant_name(headers: &HeaderMap) -> Option<&str> {
+    text(headers, CALLER)
+}
+
+/// Returns the expected work, if the client states it as a number.
+pub fn cost(headers: &HeaderMap) -> Option<Duration> {
+    let microseconds = text(headers, CALL_COST)?.parse().ok()?;
+    Some(Duration::from_micros(microseconds))
+}
+
+/// Returns whether the client says that it repeats an earlier request.
+pub fn is_client_retry(headers: &HeaderMap) -> bool {
+    headers.get(CLIENT_RETRY).is_some_and(|value| value == "1")
+}
+
+fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+    headers.get(name)?.to_str().ok()
+}
--- a/crates/node/src/downstream/request_parser.rs
+++ b/crates/node/src/downstream/request_parser.rs
@@ -1,7 +1,8 @@
-//! The checks that a request's head must pass to be admitted.
+//! Parses the heads of requests, and rejects those that do not follow the protocol.
 
 use super::options::{DownstreamOptions, RequestClass};
 use super::request_error::RequestError;
+use super::request_headers;
 use crate::limits::MAX_BODY_BYTES;
 use fnv::FnvHasher;
 use hyper::Method;
@@ -13,19 +14,6 @@
 use std::hash::Hasher;
 use std::time::Duration;
 
-const CALL_ID: &str = "x-call-id";
-const BUDGET_MS: &str = "x-budget-ms";
-const IDEMPOTENCY_KEY: &str = "idempotency-key";
-const CALLER: &str = "x-caller";
-const CALL_COST: &str = "x-call-cost";
-const CLIENT_RETRY: &str = "x-again";
-
-/// Headers that must not be repeated: an endpoint might read another of the values than this node
-/// does.
-const UNIQUE_HEADERS: [&str; 4] = [CALL_ID, BUDGET_MS, IDEMPOTENCY_KEY, CALLER];
-const MAX_BUDGET_MS: u64 = 600_000;
-const MAX_CALL_ID_BYTES: usize = 256;
-
 /// A request whose head has been checked.
 pub struct ParsedRequest {
     /// The method, which is forwarded.
@@ -40,22 +28,26 @@
     pub class: usize,
     /// The position of the tenant among the configured ones; 0 if none is configured.
     pub tenant: usize,
-    /// The number of what the request is about; 0 for nothing.
+    /// The number of the key in the path; 0 for none.
     pub key: u64,
-    /// How long the client waits from now on.
+    /// How long the client waits, counted from when the request was received.
     pub budget: Duration,
     /// How long endpoints remember the idempotency key, if the class has one.
     pub idempotency_window: Option<Duration>,
-    /// The expected work, where the client knows it.
+    /// The expected work, if the client states it.
     pub cost: Option<Duration>,
     /// Whether the client says that it repeats an earlier request.
     pub is_client_retry: bool,
-    /// The length of the body.
+    /// The length of the body, in bytes.
     pub body_length: usize,
 }
 
-/// Checks the framing of the body from the head alone: a client that waits to send the body is not
-/// kept waiting.
+/// Returns the length of the body, as the head states it. The body itself is not waited for, so
+/// that a client that sends it only once its head is accepted is not kept waiting.
+///
+/// # Errors
+///
+/// Rejects a body without a stated length or with one above the protocol's limit.
 pub fn body_length(head: &Parts, body: &Incoming) -> Result<usize, RequestError> {
     if head.headers.contains_key(TRANSFER_ENCODING) {
         return Err(RequestError::TransferEncoding);
@@ -70,7 +62,11 @@
     }
 }
 
-/// Parses a head. What does not follow the protocol never reaches an endpoint.
+/// Parses a head whose body has this length.
+///
+/// # Errors
+///
+/// Rejects every head that does not follow the protocol, so that it never reaches an endpoint.
 pub fn parse(
     options: &DownstreamOptions,
     head: Parts,
@@ -81,54 +77,62 @@
         .path_and_query()
         .ok_or(RequestError::NoPath)?
         .clone();
-    let target = parse_target(options, path.path())?;
-    let class = &options.classes[target.class];
+    let ClassAndKey { class, key } = parse_path(options, path.path())?;
     let headers = &head.headers;
-    check_unique(headers)?;
-    check_method(class, &head.method, body_length)?;
-    let idempotency_key = headers.get(IDEMPOTENCY_KEY).cloned();
-    let idempotency_window = idempotency_window(class, idempotency_key.is_some())?;
-    let call_id = parse_call_id(headers)?;
-    let budget = parse_budget(headers)?;
-    let tenant = parse_tenant(options, headers)?;
+    request_headers::check_unique(headers)?;
+    let class_options = &options.classes[class];
+    check_method(class_options, &head.method, body_length)?;
+    let idempotency_key = request_headers::idempotency_key(headers);
+    let idempotency_window = idempotency_window(class_options, idempotency_key.is_some())?;
+    let call_id = request_headers::call_id(headers)?;
+    let budget = request_headers::budget(headers)?;
+    let tenant = find_tenant(options, headers)?;
+    let cost = request_headers::cost(headers);
+    let is_client_retry = request_headers::is_client_retry(headers);
     Ok(ParsedRequest {
         method: head.method,
         path,
         call_id,
         idempotency_key,
-        class: target.class,
+        class,
         tenant,
-        key: target.key,
+        key,
         budget,
         idempotency_window,
-        cost: parse_cost(headers),
-        is_client_retry: headers.get(CLIENT_RETRY).is_some_and(|value| value == "1"),
+        cost,
+        is_client_retry,
         body_length,
     })
 }
 
-/// What a path `/class/.../key` says.
-struct Target {
+/// What a path `/class/.../key` states.
+struct ClassAndKey {
+    /// The position of the class among the configured ones.
     class: usize,
+    /// The number of the key; 0 for none.
     key: u64,
 }
 
-fn parse_target(options: &DownstreamOptions, path: &str) -> Result<Target, RequestError> {
+/// Parses a path. Rejects one that names no class.
+fn parse_path(options: &DownstreamOptions, path: &str) -> Result<ClassAndKey, RequestError> {
     let mut segments = path
         .strip_prefix('/')
         .ok_or(RequestError::NoPath)?
         .split('/');
-    let name = segments.next().unwrap_or_default();
-    let class = options.classes.iter().position(|class| class.name == name);
-    let class = class.ok_or(RequestError::UnknownClass)?;
+    let class_name = segments.next().unwrap_or_default();
+    let class = options
+        .classes
+        .iter()
+        .position(|class| class.name == class_name)
+        .ok_or(RequestError::UnknownClass)?;
     let key = match segments.next_back() {
         None | Some("") => 0,
         Some(key) => key_number(key),
     };
-    Ok(Target { class, key })
+    Ok(ClassAndKey { class, key })
 }
 
-/// The number of a key: the same text gives the same number at every node.
+/// Returns the number of a key. The same text gives the same number at every node.
 fn key_number(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| {
         let mut hasher = FnvHasher::default();
@@ -137,14 +141,7 @@
     })
 }
 
-fn check_unique(headers: &HeaderMap) -> Result<(), RequestError> {
-    let is_repeated = |name: &&str| headers.get_all(*name).iter().nth(1).is_some();
-    if UNIQUE_HEADERS.iter().any(is_repeated) {
-        return Err(RequestError::RepeatedHeader);
-    }
-    Ok(())
-}
-
+/// Checks that the method and the presence of a body are what the class requires.
 fn check_method(
     class: &RequestClass,
     method: &Method,
@@ -165,6 +162,7 @@
     Ok(())
 }
 
+/// Returns how long endpoints remember the idempotency key, if the class has one.
 fn idempotency_window(
     class: &RequestClass,
     has_key: bool,
@@ -176,35 +174,15 @@
     }
 }
 
-fn parse_call_id(headers: &HeaderMap) -> Result<HeaderValue, RequestError> {
-    match headers.get(CALL_ID) {
-        Some(id) if (1..=MAX_CALL_ID_BYTES).contains(&id.len()) => Ok(id.clone()),
-        _ => Err(RequestError::InvalidCallId),
-    }
-}
-
-fn parse_budget(headers: &HeaderMap) -> Result<Duration, RequestError> {
-    let budget = header_text(headers, BUDGET_MS).and_then(|text| text.parse::<u64>().ok());
-    match budget {
-        Some(ms) if (1..=MAX_BUDGET_MS).contains(&ms) => Ok(Duration::from_millis(ms)),
-        _ => Err(RequestError::InvalidBudget),
-    }
-}
-
-fn parse_tenant(options: &DownstreamOptions, headers: &HeaderMap) -> Result<usize, RequestError> {
+/// Returns the position of the tenant among the configured ones; 0 if none is configured.
+fn find_tenant(options: &DownstreamOptions, headers: &HeaderMap) -> Result<usize, RequestError> {
     if options.tenants.is_empty() {
         return Ok(0);
     }
-    let caller = header_text(headers, CALLER).ok_or(RequestError::UnknownTenant)?;
-    let tenant = options.tenants.iter().position(|tenant| tenant == caller);
-    tenant.ok_or(RequestError::UnknownTenant)
-}
-
-fn parse_cost(headers: &HeaderMap) -> Option<Duration> {
-    let microseconds = header_text(headers, CALL_COST)?.parse().ok()?;
-    Some(Duration::from_micros(microseconds))
-}
-
-fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
-    headers.get(name)?.to_str().ok()
+    let name = request_headers::tenant_name(headers).ok_or(RequestError::UnknownTenant)?;
+    options
+        .tenants
+        .iter()
+        .position(|tenant| tenant == name)
+        .ok_or(RequestError::UnknownTenant)
 }
