--- a/crates/node/src/downstream/mod.rs
+++ b/crates/node/src/downstream/mod.rs
@@ -18,7 +18,7 @@
 mod in_flight_call_ids;
 mod listener;
 mod options;
-mod readiness;
+mod readiness_check;
 mod rejection;
 mod request_body;
 mod request_error;
@@ -40,7 +40,7 @@
 use graceful_shutdown::{GracefulShutdown, ShutdownPhase};
 use http_server::HttpServer;
 use listener::Acceptor;
-use readiness::Readiness;
+use readiness_check::ReadinessCheck;
 use request_handler::RequestHandler;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -73,10 +73,10 @@
             driver: driver.clone(),
             drain_timeout: options.longest_deadline(),
         };
-        let readiness = Readiness::new(is_ready, phase.clone());
+        let readiness_check = ReadinessCheck::new(is_ready, phase.clone());
         let admission = Admission::new(clock, budget, phase.clone(), options.max_retry_after);
         let driver = DriverHandle::new(driver);
-        let handler = RequestHandler::new(options, readiness, admission, driver);
+        let handler = RequestHandler::new(options, readiness_check, admission, driver);
         let server = Rc::new(HttpServer::new(handler, registry.clone(), phase));
         Downstream {
             server,
--- a/crates/node/src/downstream/readiness.rs
+++ b/crates/node/src/downstream/readiness_check.rs
@@ -10,16 +10,16 @@
 pub const PATH: &str = "/health/ready";
 
 /// Responds to readiness checks.
-pub struct Readiness {
+pub struct ReadinessCheck {
     has_endpoint_list: Rc<Cell<bool>>,
     phase: Rc<Cell<ShutdownPhase>>,
 }
 
-impl Readiness {
+impl ReadinessCheck {
     /// Creates a readiness check. The node is ready while it has an endpoint list and is not
     /// draining.
     pub fn new(has_endpoint_list: Rc<Cell<bool>>, phase: Rc<Cell<ShutdownPhase>>) -> Self {
-        Readiness {
+        ReadinessCheck {
             has_endpoint_list,
             phase,
         }
@@ -28,10 +28,11 @@
     /// Returns the response to a readiness check: 200 if the node is ready, else 503.
     pub fn response(&self) -> FullResponse {
         let is_ready = self.has_endpoint_list.get() && !self.phase.get().is_draining();
-        response::without_body(if is_ready {
+        let status = if is_ready {
             StatusCode::OK
         } else {
             StatusCode::SERVICE_UNAVAILABLE
-        })
+        };
+        response::without_body(status)
     }
 }
--- a/crates/node/src/downstream/request_handler.rs
+++ b/crates/node/src/downstream/request_handler.rs
@@ -3,7 +3,7 @@
 use super::admission::Admission;
 use super::driver_handle::DriverHandle;
 use super::options::DownstreamOptions;
-use super::readiness::{self, Readiness};
+use super::readiness_check::{self, ReadinessCheck};
 use super::rejection::Rejection;
 use super::request_body;
 use super::request_error::RequestError;
@@ -17,7 +17,7 @@
 /// Handles the requests of all connections.
 pub struct RequestHandler {
     options: DownstreamOptions,
-    readiness: Readiness,
+    readiness_check: ReadinessCheck,
     admission: Admission,
     driver: DriverHandle,
 }
@@ -34,13 +34,13 @@
     /// Creates a handler that passes admitted requests to the driver.
     pub fn new(
         options: DownstreamOptions,
-        readiness: Readiness,
+        readiness_check: ReadinessCheck,
         admission: Admission,
         driver: DriverHandle,
     ) -> Self {
         RequestHandler {
             options,
-            readiness,
+            readiness_check,
             admission,
             driver,
         }
@@ -59,7 +59,7 @@
     ) -> Result<FullResponse, Rejection> {
         let (head, body) = request.into_parts();
         match self.route(head, &body) {
-            Ok(Route::ReadinessCheck) => Ok(self.readiness.response()),
+            Ok(Route::ReadinessCheck) => Ok(self.readiness_check.response()),
             Ok(Route::Forward(request)) => self.forward(*request, body, read_deadline).await,
             Err(error) => {
                 request_body::discard_in_background(body);
@@ -71,7 +71,7 @@
     /// Checks the head of a request. Reads nothing of its body.
     fn route(&self, head: Parts, body: &Incoming) -> Result<Route, RequestError> {
         let body_length = request_parser::body_length(&head, body)?;
-        if head.uri.path() == readiness::PATH {
+        if head.uri.path() == readiness_check::PATH {
             return Ok(Route::ReadinessCheck);
         }
         let request = request_parser::parse(&self.options, head, body_length)?;
