--- a/crates/node/src/downstream/options.rs
+++ b/crates/node/src/downstream/options.rs
@@ -1,4 +1,4 @@
-//! What the downstream side takes from the configuration.
+//! The options of the downstream side, which the startup takes from the configuration.
 
 use ottertiller_balancer::Idempotency;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 /// The options of the downstream side.
 #[derive(Clone, Debug)]
 pub struct DownstreamOptions {
-    /// The most client connections.
+    /// The greatest number of client connections.
     pub max_connections: usize,
     /// The classes of requests, in the order of their numbers.
     pub classes: Vec<RequestClass>,
@@ -18,7 +18,7 @@
 }
 
 impl DownstreamOptions {
-    /// The longest that a client of any class waits.
+    /// Returns the longest time that a client of any class waits; zero if there is no class.
     pub fn longest_deadline(&self) -> Duration {
         self.classes
             .iter()
@@ -33,8 +33,8 @@
 pub struct RequestClass {
     /// The first segment of its paths.
     pub name: String,
-    /// How far a request may be repeated; this decides its method and headers.
+    /// Whether a request may be repeated. This decides its method and headers.
     pub idempotency: Idempotency,
-    /// How long a client waits.
+    /// How long a client waits for its response.
     pub deadline: Duration,
 }
--- a/crates/node/src/downstream/request_error.rs
+++ b/crates/node/src/downstream/request_error.rs
@@ -1,16 +1,16 @@
-//! Why a request is rejected before it is admitted, and what its client reads of that.
+//! The errors of invalid requests, with the statuses and texts that clients read.
 
 use hyper::StatusCode;
 use thiserror::Error;
 
-/// A request that is not admitted. The text is the body of the response.
+/// Why a request is invalid. The text is the body of the response, and part of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RequestError {
-    /// The body's length is not known from the head. With a Content-Length beside it, a
-    /// Transfer-Encoding may hide a second request in the body; no client of the service needs it.
+    /// The head has a Transfer-Encoding. With a Content-Length beside it, it may hide a second
+    /// request in the body; no client of the service needs it.
     #[error("no Transfer-Encoding, please")]
     TransferEncoding,
-    /// The body has no length.
+    /// The length of the body is not known from the head.
     #[error("no length")]
     UnknownLength,
     /// The body is longer than the protocol allows.
@@ -37,13 +37,13 @@
     /// There is no X-Call-Id, or its length is not allowed.
     #[error("no X-Call-Id")]
     InvalidCallId,
-    /// There is no X-Budget-Ms, or it is no number within the limits.
+    /// There is no X-Budget-Ms, or it is not a number within the limits.
     #[error("no X-Budget-Ms that makes sense")]
     InvalidBudget,
     /// X-Caller names no tenant.
     #[error("unknown tenant")]
     UnknownTenant,
-    /// The body did not come in time.
+    /// The body did not arrive in time.
     #[error("too slow")]
     ReadTimeout,
     /// The body ended early or could not be read.
@@ -55,7 +55,7 @@
 }
 
 impl RequestError {
-    /// The status of the response.
+    /// Returns the status of the response.
     pub fn status(self) -> StatusCode {
         match self {
             RequestError::TransferEncoding => StatusCode::LENGTH_REQUIRED,
