--- a/crates/node/src/downstream/admission.rs
+++ b/crates/node/src/downstream/admission.rs
@@ -99,6 +99,7 @@
         })
     }
 
+    /// Returns the rejection of a request that may be retried.
     fn shed(&self) -> Rejection {
         Rejection::Shed {
             retry_after: self.retry_after,
--- a/crates/node/src/downstream/connection.rs
+++ b/crates/node/src/downstream/connection.rs
@@ -154,6 +154,7 @@
         self.socket.has_nothing_to_read()
     }
 
+    /// Records that no more requests are served on the connection.
     fn start_closing(&self) {
         self.state.set(ConnectionState::Closing {
             since: Instant::now(),
--- a/crates/node/src/downstream/driver_handle.rs
+++ b/crates/node/src/downstream/driver_handle.rs
@@ -45,6 +45,7 @@
         final_response
     }
 
+    /// Returns an id that no request of this node has had.
     fn next_request_id(&self) -> RequestId {
         let id = self.last_request_id.get() + 1;
         self.last_request_id.set(id);
--- a/crates/node/src/downstream/eviction.rs
+++ b/crates/node/src/downstream/eviction.rs
@@ -90,6 +90,7 @@
     })
 }
 
+/// Returns what is known of the client of an idle connection.
 fn idle_client(connection: &Connection, reason: EvictionReason) -> IdleClient {
     let is_new = connection.age() < FIRST_REQUEST_DELAY;
     if connection.has_sent_request() {
--- a/crates/node/src/downstream/listener.rs
+++ b/crates/node/src/downstream/listener.rs
@@ -125,6 +125,7 @@
         }
     }
 
+    /// Serves the pending connection, if there is one.
     fn serve_pending(&mut self) {
         if let Some(stream) = self.pending.take() {
             self.server.serve(stream);
--- a/crates/node/src/downstream/listener/tests.rs
+++ b/crates/node/src/downstream/listener/tests.rs
@@ -76,7 +76,7 @@
 /// How a request ended for its client.
 #[derive(Debug, PartialEq, Eq)]
 enum RequestEnd {
-    /// It was answered with status 200.
+    /// It got a response with status 200.
     Served,
     /// The connection ended without that, or carried something else.
     NotServed,
@@ -95,6 +95,7 @@
         Client(stream)
     }
 
+    /// Connects `count` clients, one after another.
     async fn connect_several(address: SocketAddr, count: u32) -> Vec<Client> {
         let mut clients = Vec::new();
         for _ in 0..count {
@@ -132,6 +133,7 @@
     }
 }
 
+/// Builds the server as the node does, with an endpoint list and no driver.
 fn server() -> Rc<HttpServer> {
     let options = DownstreamOptions {
         max_connections: MAX_CONNECTIONS,
--- a/crates/node/src/downstream/rejection.rs
+++ b/crates/node/src/downstream/rejection.rs
@@ -36,6 +36,7 @@
 }
 
 impl From<RequestError> for Rejection {
+    /// Rejects the request as invalid.
     fn from(error: RequestError) -> Self {
         Rejection::Invalid(error)
     }
--- a/crates/node/src/downstream/request_body.rs
+++ b/crates/node/src/downstream/request_body.rs
@@ -13,7 +13,7 @@
 /// How many bytes of a rejected request's body are read and discarded at most.
 const MAX_DISCARDED_BYTES: usize = 16 * MAX_BODY_BYTES;
 /// How long the body of a rejected request is read and discarded: half the time after which a
-/// closing connection is aborted.
+/// closing connection is aborted (`timeouts::LINGER_TIMEOUT`).
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Reads a body of `length` bytes, for which memory has been leased, until the deadline.
@@ -43,7 +43,7 @@
     Ok(lease.keep(content.freeze()))
 }
 
-/// Reads the next frame of a body; `None` at its end.
+/// Reads the next frame of a body. Returns `None` at its end.
 async fn next_frame(
     body: &mut Incoming,
     deadline: Instant,
@@ -63,6 +63,7 @@
     spawn_local(discard(body, MAX_DISCARDED_BYTES, deadline));
 }
 
+/// Reads and drops a body until its end, `max_bytes` or the deadline.
 async fn discard(mut body: Incoming, max_bytes: usize, deadline: Instant) {
     let mut discarded = 0;
     while let Ok(Some(Ok(frame))) = timeout_at(deadline, body.frame()).await {
--- a/crates/node/src/downstream/request_handler.rs
+++ b/crates/node/src/downstream/request_handler.rs
@@ -78,6 +78,7 @@
         Ok(Route::Forward(Box::new(request)))
     }
 
+    /// Admits a request, and returns the response that its attempts end with.
     async fn forward(
         &self,
         request: ParsedRequest,
--- a/crates/node/src/downstream/request_headers.rs
+++ b/crates/node/src/downstream/request_headers.rs
@@ -4,9 +4,11 @@
 use hyper::header::{HeaderMap, HeaderValue};
 use std::time::Duration;
 
+/// The id that the client gives to the request.
 const CALL_ID: &str = "x-call-id";
 /// How long the client waits from when it sends the request, in milliseconds.
 const BUDGET_MS: &str = "x-budget-ms";
+/// The key by which endpoints drop repeats of the request.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// The name of the tenant.
 const CALLER: &str = "x-caller";
@@ -83,6 +85,7 @@
     headers.get(CLIENT_RETRY).is_some_and(|value| value == "1")
 }
 
+/// Returns the value of a header as text, if there is one in visible ASCII.
 fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
--- a/crates/node/src/downstream/response.rs
+++ b/crates/node/src/downstream/response.rs
@@ -41,6 +41,7 @@
     }
 }
 
+/// Returns a response with this status and body.
 fn with_body(status: StatusCode, body: Bytes) -> FullResponse {
     let mut response = Response::new(Full::new(body));
     *response.status_mut() = status;
--- a/crates/node/src/downstream/timeouts.rs
+++ b/crates/node/src/downstream/timeouts.rs
@@ -53,6 +53,7 @@
     }
 }
 
+/// Returns whether the request that is being read has taken longer than [`READ_TIMEOUT`].
 fn is_read_late(connection: &Connection, now: Instant) -> bool {
     connection
         .request_started()
