--- a/crates/node/src/downstream/http_server.rs
+++ b/crates/node/src/downstream/http_server.rs
@@ -74,8 +74,7 @@
     async fn serve_http(&self, socket: Socket, connection: &Connection) {
         let service = service_fn(|request| self.respond(connection, request));
         let http = http1::Builder::new()
-            // Its timeout would run on idle connections too: `timeouts` tells
-            // them apart.
+            // Hyper's timeout would run on idle connections too; `timeouts` tells them apart.
             .header_read_timeout(None)
             .max_buf_size(READ_BUFFER_BYTES)
             .serve_connection(socket, service);
@@ -96,6 +95,7 @@
         connection: &Connection,
         request: Request<Incoming>,
     ) -> Result<FullResponse, Infallible> {
+        // The rest of the request, its body, must have been read by then.
         let read_deadline = connection.begin_request() + READ_TIMEOUT;
         let result = self.handler.handle(request, read_deadline).await;
         let keeps_connection = result
