--- a/crates/node/src/downstream/server.rs
+++ b/crates/node/src/downstream/http_server.rs
@@ -1,10 +1,12 @@
 //! Serves HTTP/1.1 on accepted connections.
 
 use super::connection::Connection;
-use super::handler::RequestHandler;
-use super::phase::Phase;
-use super::registry::ConnectionRegistry;
-use super::response::{self, FullResponse};
+use super::connection_registry::ConnectionRegistry;
+use super::graceful_shutdown::ShutdownPhase;
+use super::rejection::Rejection;
+use super::request_handler::RequestHandler;
+use super::response::FullResponse;
+use super::timeouts::READ_TIMEOUT;
 use crate::limits::READ_BUFFER_BYTES;
 use crate::socket::Socket;
 use hyper::Request;
@@ -20,27 +22,27 @@
 use tokio::task::spawn_local;
 
 /// Serves connections with one request handler.
-pub struct Server {
+pub struct HttpServer {
     handler: RequestHandler,
     registry: Rc<ConnectionRegistry>,
-    phase: Rc<Cell<Phase>>,
+    phase: Rc<Cell<ShutdownPhase>>,
 }
 
-impl Server {
-    /// A server whose connections are kept in the registry.
+impl HttpServer {
+    /// Creates a server whose connections are kept in the registry.
     pub fn new(
         handler: RequestHandler,
         registry: Rc<ConnectionRegistry>,
-        phase: Rc<Cell<Phase>>,
+        phase: Rc<Cell<ShutdownPhase>>,
     ) -> Self {
-        Server {
+        HttpServer {
             handler,
             registry,
             phase,
         }
     }
 
-    /// The registry of the connections.
+    /// Returns the registry of the connections.
     pub fn registry(&self) -> &ConnectionRegistry {
         &self.registry
     }
@@ -57,6 +59,7 @@
         });
     }
 
+    /// Serves a connection until it ends, is aborted, or its client disconnects.
     async fn serve_until_ended(&self, socket: Socket, connection: &Connection) {
         // Biased: what the client has sent comes before its disconnect.
         tokio::select! {
@@ -67,11 +70,11 @@
         }
     }
 
+    /// Serves HTTP until the connection ends, gracefully if that is requested.
     async fn serve_http(&self, socket: Socket, connection: &Connection) {
         let service = service_fn(|request| self.respond(connection, request));
         let http = http1::Builder::new()
-            // Its timeout would run on idle connections too: `Connection::enforce_timeouts` tells
-            // them apart.
+            // Hyper's timeout would run on idle connections too; `timeouts` tells them apart.
             .header_read_timeout(None)
             .max_buf_size(READ_BUFFER_BYTES)
             .serve_connection(socket, service);
@@ -86,21 +89,25 @@
         let _ = http.await; // an error says no more than that the client disconnected
     }
 
+    /// Handles one request, and returns the response that is written to the client.
     async fn respond(
         &self,
         connection: &Connection,
         request: Request<Incoming>,
     ) -> Result<FullResponse, Infallible> {
-        let read_deadline = connection.begin_request();
+        // The rest of the request, its body, must have been read by then.
+        let read_deadline = connection.begin_request() + READ_TIMEOUT;
         let result = self.handler.handle(request, read_deadline).await;
-        // After a malformed request nobody can tell where the next one begins.
-        let is_last = result.is_err() || self.phase.get().is_draining();
-        let mut response = result.unwrap_or_else(response::rejected);
+        let keeps_connection = result
+            .as_ref()
+            .err()
+            .is_none_or(Rejection::keeps_connection);
+        let is_last = !keeps_connection || self.phase.get().is_draining();
+        let mut response = result.unwrap_or_else(Rejection::into_response);
         if is_last {
             connection.end_last_request();
-            response
-                .headers_mut()
-                .insert(CONNECTION, HeaderValue::from_static("close"));
+            let close = HeaderValue::from_static("close");
+            response.headers_mut().insert(CONNECTION, close);
         } else {
             connection.end_request();
         }
