--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -1,6 +1,7 @@
 //! HTTP calls to discovery: watching the endpoint list.
 
-use crate::discovery::framing::{ListFramer, ListTooLong, WatchLine};
+use crate::discovery::error::ClientError;
+use crate::discovery::framing::{ListFramer, WatchLine};
 use crate::discovery::list_deadline::ListDeadline;
 use crate::socket::{self, Socket};
 use bytes::Bytes;
@@ -9,7 +10,6 @@
 use hyper::client::conn::http1;
 use hyper::header::HOST;
 use hyper::{Request, Response, StatusCode};
-use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::task::{JoinHandle, spawn_local};
@@ -17,27 +17,6 @@
 
 const LIST_PATH: &str = "/registry/instances";
 
-/// Why a call to discovery failed.
-#[derive(Debug, thiserror::Error)]
-pub enum ClientError {
-    #[error("not connected in time")]
-    ConnectTimeout,
-    #[error("cannot connect: {0}")]
-    Connect(io::Error),
-    #[error("silent")]
-    Silent,
-    #[error("answered {0}")]
-    Status(StatusCode),
-    #[error("it ended")]
-    Ended,
-    #[error(transparent)]
-    TooLong(#[from] ListTooLong),
-    #[error(transparent)]
-    Http(#[from] hyper::Error),
-    #[error(transparent)]
-    InvalidRequest(#[from] hyper::http::Error),
-}
-
 /// Calls discovery, with a connection for each call.
 pub struct Client {
     address: SocketAddr,
@@ -74,7 +53,7 @@
     async fn exchange(&self, path: &str) -> Result<Call, ClientError> {
         let connected = timeout(self.connect_timeout, socket::connect(self.address)).await;
         let stream = connected
-            .map_err(|_| ClientError::ConnectTimeout)?
+            .map_err(|_| ClientError::ConnectTimedOut)?
             .map_err(ClientError::Connect)?;
         let (socket, _) = Socket::new(stream);
         let (mut sender, driver) = http1::handshake(socket).await?;
@@ -90,7 +69,7 @@
                 response,
                 connection,
             }),
-            status => Err(ClientError::Status(status)),
+            status => Err(ClientError::UnexpectedStatus(status)),
         }
     }
 }
@@ -134,7 +113,7 @@
                         .deadline
                         .next_part(&mut self.body)
                         .await?
-                        .ok_or(ClientError::Ended)?;
+                        .ok_or(ClientError::StreamEnded)?;
                     self.framer.push(&part);
                 }
             }
--- a/crates/node/src/discovery/client/tests.rs
+++ b/crates/node/src/discovery/client/tests.rs
@@ -95,7 +95,7 @@
         pieces.push(head(1 << 20));
         pieces.extend((0..1000).map(|_| b"{".to_vec()));
         let (result, elapsed) = call(pieces);
-        assert!(matches!(result, Err(ClientError::Silent)), "{result:?}");
+        assert!(matches!(result, Err(ClientError::TimedOut)), "{result:?}");
         assert!(
             elapsed <= MAX_TIME,
             "{elapsed:?}, head after {steps_before_head} steps"
@@ -105,7 +105,7 @@
     let mut pieces = vec![head(1 << 20), b"{\n".to_vec()];
     pieces.extend((0..1000).map(|n| format!("  \"key{n}\": 0,\n").into_bytes()));
     let (result, elapsed) = call(pieces);
-    assert!(matches!(result, Err(ClientError::Silent)), "{result:?}");
+    assert!(matches!(result, Err(ClientError::TimedOut)), "{result:?}");
     assert!(elapsed <= MAX_TIME, "{elapsed:?}");
 }
 
--- a/crates/node/src/discovery/list_deadline.rs
+++ b/crates/node/src/discovery/list_deadline.rs
@@ -5,7 +5,7 @@
 //! came whole before it on the watch, and bytes that trickle in do not extend it. A list that
 //! arrives fast enough to become whole may use more of the 6 s.
 
-use crate::discovery::client::ClientError;
+use crate::discovery::error::ClientError;
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -47,7 +47,7 @@
     ) -> Result<T, ClientError> {
         timeout_at(self.started + LIST_TIMEOUT, call)
             .await
-            .map_err(|_| ClientError::Silent)?
+            .map_err(|_| ClientError::TimedOut)?
     }
 
     /// The next part of a body; `None` at its end.
@@ -63,7 +63,7 @@
                     }
                 }
                 Err(_) if self.may_go_on() => check_at = Instant::now() + PACE_CHECK_INTERVAL,
-                Err(_) => return Err(ClientError::Silent),
+                Err(_) => return Err(ClientError::TimedOut),
             }
         }
     }
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -3,6 +3,7 @@
 mod backoff;
 mod client;
 mod endpoint_list;
+mod error;
 mod framing;
 mod list_deadline;
 mod poll;
--- a/crates/node/src/discovery/poll.rs
+++ b/crates/node/src/discovery/poll.rs
@@ -1,7 +1,7 @@
 //! Where the list must be polled: the balancer commands when, and every call that fails is reported
 //! to it.
 
-use crate::discovery::client::ClientError;
+use crate::discovery::error::ClientError;
 use crate::discovery::{Discovery, next_address};
 use crate::logging::log;
 use crate::message::DiscoveryCommand;
--- a/crates/node/src/discovery/watch.rs
+++ b/crates/node/src/discovery/watch.rs
@@ -1,6 +1,6 @@
 //! Where changes of the list are pushed: a watch for good.
 
-use crate::discovery::client::ClientError;
+use crate::discovery::error::ClientError;
 use crate::discovery::{Discovery, ListSource, next_address};
 use crate::logging::log;
 use std::convert::Infallible;
