--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -6,6 +6,7 @@
 mod error;
 mod framing;
 mod list_deadline;
+mod list_version;
 mod poll;
 mod readiness;
 mod watch;
@@ -15,6 +16,7 @@
 use backoff::{ReconnectBackoff, longest_wait};
 use client::Client;
 use endpoint_list::{EndpointList, EntryParser};
+use list_version::ListVersion;
 use ottertiller_balancer::ListKind;
 use readiness::Readiness;
 use serde_json::Value;
@@ -53,7 +55,7 @@
     cached_list: Option<String>,
     poll: bool,
     /// The version of the list that the driver has.
-    version: u64,
+    version: ListVersion,
 }
 
 /// Where a list comes from.
@@ -86,7 +88,7 @@
             readiness: Readiness::default(),
             cached_list: options.cached_list,
             poll: options.poll,
-            version: 0,
+            version: ListVersion::default(),
         }
     }
 
@@ -111,13 +113,13 @@
 
     async fn start_from_cached_list(&mut self) {
         let cached_list = self.cached_list.take().unwrap_or_default();
-        if !self
-            .apply_list(cached_list.as_bytes(), ListSource::Cached)
-            .await
-        {
+        let Some(list) = parse_list(cached_list.as_bytes()) else {
             // The balancer has to know that the node has started, or it would never ask for a list.
             self.publish(ListKind::Cached, Vec::new()).await;
-        } else if self.version > 0 {
+            return;
+        };
+        self.apply_list(list, ListSource::Cached).await;
+        if self.version.is_known() {
             self.readiness.set_after_first_call();
         }
     }
@@ -127,45 +129,40 @@
     fn move_to(&mut self, address: SocketAddr) {
         self.client.set_address(address);
         self.backoff.reset();
-        self.version = 0;
+        self.version = ListVersion::default();
     }
 
-    /// Applies a list; false if there is none. What is malformed is dropped: an entry alone where
-    /// the others can be parsed.
-    async fn apply_list(&mut self, text: &[u8], source: ListSource) -> bool {
-        if text.is_empty() {
-            return false;
-        }
-        let mut list = match EndpointList::parse(text) {
-            Ok(list) => list,
-            Err(error) => {
-                log(error);
-                return false;
-            }
-        };
+    /// Applies a list, and publishes what it changes. Malformed entries are dropped alone.
+    async fn apply_list(&mut self, list: EndpointList, source: ListSource) {
         let kind = source.kind(list.snapshot);
-        let version = list.index.unwrap_or(self.version);
-        if kind == ListKind::Delta && version < self.version {
-            // They would take back what is known since, such as that an endpoint drains.
-            log(format_args!(
-                "stale changes of version {version} dropped: the endpoint list is at {}",
-                self.version
-            ));
-            list.entries.clear();
-        }
-        let endpoints = self.parse_entries(list.entries);
+        let version = self.version.of_update(list.index);
+        let endpoints = self.parse_entries(self.current_entries(kind, version, list.entries));
         self.publish(kind, endpoints).await;
         // Only now: a watch that is dropped before has not published the list, and the next one has
         // to.
-        self.version = if kind == ListKind::Delta {
-            version.max(self.version)
-        } else {
-            version
-        };
+        self.version.advance(kind, version);
         if kind != ListKind::Cached || self.poll {
             self.readiness.set();
         }
-        true
+    }
+
+    /// Returns the entries of an update; none if it is stale, since they would take back what is
+    /// known since, such as that an endpoint drains.
+    fn current_entries(
+        &self,
+        kind: ListKind,
+        version: ListVersion,
+        entries: Vec<Value>,
+    ) -> Vec<Value> {
+        if !self.version.makes_stale(kind, version) {
+            return entries;
+        }
+        log(format_args!(
+            "stale changes of version {} dropped: the endpoint list is at {}",
+            version.number(),
+            self.version.number()
+        ));
+        Vec::new()
     }
 
     fn parse_entries(&self, entries: Vec<Value>) -> Vec<ListedEndpoint> {
@@ -185,6 +182,20 @@
     }
 }
 
+/// Parses a list, but not its entries; `None` if the text is empty, or malformed and dropped.
+fn parse_list(text: &[u8]) -> Option<EndpointList> {
+    if text.is_empty() {
+        return None;
+    }
+    match EndpointList::parse(text) {
+        Ok(list) => Some(list),
+        Err(error) => {
+            log(error);
+            None
+        }
+    }
+}
+
 /// The next address that discovery moves to.
 async fn next_address(addresses: &mut watch_channel::Receiver<SocketAddr>) -> SocketAddr {
     match addresses.changed().await {
--- a/crates/node/src/discovery/poll.rs
+++ b/crates/node/src/discovery/poll.rs
@@ -9,19 +9,35 @@
 use std::net::SocketAddr;
 use tokio::sync::{mpsc, watch};
 
-/// Whether the balancer wants a watch, and whether there is one: it learns of a broken one and
-/// decides anew.
-#[derive(Clone, Copy, Default)]
-struct Subscription {
-    wanted: bool,
-    watching: bool,
+/// The watch that the balancer has commanded.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Subscription {
+    /// The balancer wants no watch.
+    Unsubscribed,
+    /// A watch is open or being opened.
+    Watching,
+    /// The watch has failed. The balancer has been told and decides anew.
+    Failed,
 }
 
+impl Subscription {
+    /// Returns the state once discovery has moved: a watch that had failed is opened there.
+    fn after_move(self) -> Self {
+        match self {
+            Subscription::Unsubscribed => Subscription::Unsubscribed,
+            Subscription::Watching | Subscription::Failed => Subscription::Watching,
+        }
+    }
+}
+
+/// What happens between two turns of the poll loop.
 enum PollEvent {
     /// The balancer's next command; `None` once the node has ended.
     Command(Option<DiscoveryCommand>),
+    /// Discovery listens at another address from now on.
     DiscoveryMoved(SocketAddr),
-    WatchBroken(ClientError),
+    /// The watch has failed.
+    WatchFailed(ClientError),
 }
 
 impl Discovery {
@@ -31,29 +47,26 @@
         mut commands: mpsc::Receiver<DiscoveryCommand>,
         mut addresses: watch::Receiver<SocketAddr>,
     ) {
-        let mut subscription = Subscription::default();
+        let mut subscription = Subscription::Unsubscribed;
         loop {
-            match self
+            let event = self
                 .next_poll_event(subscription, &mut commands, &mut addresses)
-                .await
-            {
+                .await;
+            match event {
                 PollEvent::Command(Some(DiscoveryCommand::Subscribe)) => {
-                    subscription = Subscription {
-                        wanted: true,
-                        watching: true,
-                    };
+                    subscription = Subscription::Watching;
                 }
                 PollEvent::Command(Some(DiscoveryCommand::Unsubscribe)) => {
-                    subscription = Subscription::default();
+                    subscription = Subscription::Unsubscribed;
                 }
                 PollEvent::Command(None) => return,
                 PollEvent::DiscoveryMoved(address) => {
                     self.move_to(address);
-                    subscription.watching = subscription.wanted;
+                    subscription = subscription.after_move();
                 }
-                PollEvent::WatchBroken(error) => {
+                PollEvent::WatchFailed(error) => {
                     log(format_args!("endpoint list watch failed: {error}"));
-                    subscription.watching = false;
+                    subscription = Subscription::Failed;
                     self.publish(ListKind::Failed, Vec::new()).await;
                 }
             }
@@ -70,7 +83,7 @@
         tokio::select! {
             command = commands.recv() => PollEvent::Command(command),
             address = next_address(addresses) => PollEvent::DiscoveryMoved(address),
-            error = self.watch(), if subscription.watching => PollEvent::WatchBroken(error),
+            error = self.watch(), if subscription == Subscription::Watching => PollEvent::WatchFailed(error),
         }
     }
 }
--- a/crates/node/src/discovery/watch.rs
+++ b/crates/node/src/discovery/watch.rs
@@ -1,7 +1,7 @@
 //! Where changes of the list are pushed: a watch for good.
 
 use crate::discovery::error::ClientError;
-use crate::discovery::{Discovery, ListSource, next_address};
+use crate::discovery::{Discovery, ListSource, next_address, parse_list};
 use crate::logging::log;
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -44,10 +44,12 @@
     }
 
     async fn apply_watched_lists(&mut self) -> Result<Infallible, ClientError> {
-        let mut watch = self.client.watch(self.version).await?;
+        let mut watch = self.client.watch(self.version.number()).await?;
         loop {
-            let list = watch.next_list().await?;
-            self.apply_list(&list, ListSource::Watched).await;
+            let text = watch.next_list().await?;
+            if let Some(list) = parse_list(&text) {
+                self.apply_list(list, ListSource::Watched).await;
+            }
         }
     }
 }
