--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -61,7 +61,7 @@
         for _ in 0..MAX_BROKEN_CONNECTIONS {
             let mut connection = match self.pool.checkout(attempt.endpoint).await {
                 Ok(connection) => connection,
-                Err(outcome) => return ExchangeResult::without_response(outcome),
+                Err(error) => return ExchangeResult::without_response(error.outcome()),
             };
             if connection.sender.ready().await.is_err() {
                 continue;
--- a/crates/node/src/upstream/health_check.rs
+++ b/crates/node/src/upstream/health_check.rs
@@ -37,7 +37,7 @@
     async fn exchange_health_check(&self, endpoint: EndpointId) -> ExchangeResult {
         let mut connection = match self.pool.checkout(endpoint).await {
             Ok(connection) => connection,
-            Err(outcome) => return ExchangeResult::without_response(outcome),
+            Err(error) => return ExchangeResult::without_response(error.outcome()),
         };
         let Some(address) = self.pool.destination(&connection) else {
             return ExchangeResult::without_response(Outcome::NotSent);
--- a/crates/node/src/upstream/pool/checkout.rs
+++ b/crates/node/src/upstream/pool/checkout.rs
@@ -5,15 +5,11 @@
 use crate::upstream::pool::Pool;
 use crate::upstream::pool::connection::{CheckoutResult, Connection, ConnectionPermit};
 use crate::upstream::pool::dial::Dial;
-use ottertiller_balancer::{EndpointId, Outcome};
+use crate::upstream::pool::error::CheckoutError;
+use ottertiller_balancer::EndpointId;
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-enum Checkout<'a> {
-    Ready(Connection),
-    Pending(PendingCheckout<'a>),
-}
-
 /// A waiting attempt. A connection that was delivered but not fetched goes back to the pool: it has
 /// cost its endpoint a handshake.
 struct PendingCheckout<'a> {
@@ -23,7 +19,8 @@
 
 impl PendingCheckout<'_> {
     async fn wait(mut self) -> CheckoutResult {
-        (&mut self.delivery).await.unwrap_or(Err(Outcome::NotSent))
+        let delivered = (&mut self.delivery).await;
+        delivered.unwrap_or(Err(CheckoutError::EndpointUnavailable))
     }
 }
 
@@ -40,56 +37,65 @@
     /// Takes the most recently used idle connection, or else whichever comes first: one that is
     /// released or a new one.
     pub async fn checkout(self: &Rc<Self>, endpoint: EndpointId) -> CheckoutResult {
-        match self.begin_checkout(endpoint)? {
-            Checkout::Ready(connection) => Ok(connection),
-            Checkout::Pending(pending) => pending.wait().await,
+        if let Some(connection) = self.take_idle(endpoint)? {
+            return Ok(connection);
         }
+        if self.needs_dial(endpoint)? {
+            self.start_dial(endpoint)?;
+        }
+        self.enqueue(endpoint)?.wait().await
     }
 
-    fn begin_checkout(self: &Rc<Self>, endpoint: EndpointId) -> Result<Checkout<'_>, Outcome> {
-        let needs_dial = {
-            let mut registry = self.registry.borrow_mut();
-            let slot = registry.get_mut(endpoint).ok_or(Outcome::NotSent)?;
-            if let Some(connection) = slot.idle.take_usable(self.clock.now(), self.idle_timeout) {
-                return Ok(Checkout::Ready(connection));
-            }
-            slot.waiters.remove_cancelled();
-            slot.dials_in_flight <= slot.waiters.len()
-        };
-        // Its permit may close an idle connection to any endpoint, so that the registry must not be
-        // borrowed here.
-        let permit = if needs_dial {
-            Some(self.acquire_permit()?)
-        } else {
-            None
-        };
+    fn take_idle(&self, endpoint: EndpointId) -> Result<Option<Connection>, CheckoutError> {
         let mut registry = self.registry.borrow_mut();
-        let slot = registry.get_mut(endpoint).ok_or(Outcome::NotSent)?;
-        if let Some(permit) = permit {
-            slot.dials_in_flight += 1;
-            self.spawn_dial(Dial {
-                endpoint,
-                epoch: slot.epoch,
-                address: slot.address,
-                permit,
-            });
-        }
-        let delivery = slot.waiters.enqueue();
-        Ok(Checkout::Pending(PendingCheckout {
+        let slot = registry.available(endpoint)?;
+        Ok(slot.idle.take_usable(self.clock.now(), self.idle_timeout))
+    }
+
+    /// Returns whether a further waiter would have no dial to wait for.
+    fn needs_dial(&self, endpoint: EndpointId) -> Result<bool, CheckoutError> {
+        let mut registry = self.registry.borrow_mut();
+        let slot = registry.available(endpoint)?;
+        slot.waiters.remove_cancelled();
+        Ok(slot.dials_in_flight <= slot.waiters.len())
+    }
+
+    fn start_dial(self: &Rc<Self>, endpoint: EndpointId) -> Result<(), CheckoutError> {
+        // The permit may cost an idle connection to any endpoint, so that the registry must not be
+        // borrowed yet.
+        let permit = self.acquire_permit()?;
+        let mut registry = self.registry.borrow_mut();
+        let slot = registry.available(endpoint)?;
+        slot.dials_in_flight += 1;
+        self.spawn_dial(Dial {
+            endpoint,
+            epoch: slot.epoch,
+            address: slot.address,
+            permit,
+        });
+        Ok(())
+    }
+
+    fn enqueue(&self, endpoint: EndpointId) -> Result<PendingCheckout<'_>, CheckoutError> {
+        let mut registry = self.registry.borrow_mut();
+        let slot = registry.available(endpoint)?;
+        Ok(PendingCheckout {
             pool: self,
-            delivery,
-        }))
+            delivery: slot.waiters.enqueue(),
+        })
     }
 
-    /// Room for one more connection, which may cost the longest idle one.
-    fn acquire_permit(&self) -> Result<ConnectionPermit, Outcome> {
+    /// Returns a permit for one more connection. The longest idle connection is closed if the limit
+    /// is reached.
+    fn acquire_permit(&self) -> Result<ConnectionPermit, CheckoutError> {
         if let Some(permit) = self.limit.try_acquire() {
             return Ok(permit);
         }
         self.registry.borrow_mut().close_longest_idle();
         self.limit.try_acquire().ok_or_else(|| {
-            log_peer("upstream connection limit reached: attempt not sent");
-            Outcome::NotSent
+            let error = CheckoutError::ConnectionLimit;
+            log_peer(format_args!("{error}: attempt not sent"));
+            error
         })
     }
 }
--- a/crates/node/src/upstream/pool/connection.rs
+++ b/crates/node/src/upstream/pool/connection.rs
@@ -2,17 +2,18 @@
 
 use crate::socket::Handle;
 use crate::upstream::pool::epoch::Epoch;
+use crate::upstream::pool::error::CheckoutError;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::client::conn::http1::SendRequest;
-use ottertiller_balancer::{EndpointId, Outcome};
+use ottertiller_balancer::EndpointId;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::task::AbortHandle;
 
-/// A connection, or why there is none: the attempt ends with that outcome.
-pub type CheckoutResult = Result<Connection, Outcome>;
+/// A connection, or why there is none.
+pub type CheckoutResult = Result<Connection, CheckoutError>;
 
 /// The limit on open connections, counted from the start of their dials.
 pub struct ConnectionLimit {
--- a/crates/node/src/upstream/pool/dial.rs
+++ b/crates/node/src/upstream/pool/dial.rs
@@ -6,8 +6,9 @@
 use crate::upstream::pool::Pool;
 use crate::upstream::pool::connection::{CheckoutResult, Connection, ConnectionPermit};
 use crate::upstream::pool::epoch::Epoch;
+use crate::upstream::pool::error::CheckoutError;
 use hyper::client::conn::http1;
-use ottertiller_balancer::{EndpointId, Outcome};
+use ottertiller_balancer::EndpointId;
 use rustix::io::Errno;
 use std::io;
 use std::net::SocketAddr;
@@ -52,12 +53,14 @@
             _ => DialError::Connect(error),
         }
     }
+}
 
-    fn outcome(&self) -> Outcome {
-        match self {
-            DialError::LocalResources(_) => Outcome::NotSent,
+impl From<DialError> for CheckoutError {
+    fn from(error: DialError) -> Self {
+        match error {
+            DialError::LocalResources(_) => CheckoutError::LocalResources,
             DialError::Connect(_) | DialError::TimedOut | DialError::Handshake(_) => {
-                Outcome::ConnectFailed
+                CheckoutError::ConnectFailed
             }
         }
     }
@@ -83,7 +86,7 @@
                     log_peer(&error);
                     self.registry.borrow_mut().close_longest_idle();
                 }
-                error.outcome()
+                error.into()
             })
     }
 
@@ -97,9 +100,9 @@
         let failure = match result {
             Ok(connection) => {
                 self.release(connection);
-                Outcome::NotSent // should it have broken at once
+                CheckoutError::ConnectionClosed // should it have broken at once
             }
-            Err(outcome) => outcome,
+            Err(error) => error,
         };
         if let Some(slot) = self.registry.borrow_mut().get_mut(endpoint) {
             // More wait than there are dials: the longest waiting learns that its dial has failed.
--- a/crates/node/src/upstream/pool/mod.rs
+++ b/crates/node/src/upstream/pool/mod.rs
@@ -5,6 +5,7 @@
 mod connection;
 mod dial;
 mod epoch;
+mod error;
 mod idle;
 mod registry;
 mod waiters;
--- a/crates/node/src/upstream/pool/registry.rs
+++ b/crates/node/src/upstream/pool/registry.rs
@@ -3,9 +3,10 @@
 
 use crate::message::ListedEndpoint;
 use crate::upstream::pool::epoch::Epoch;
+use crate::upstream::pool::error::CheckoutError;
 use crate::upstream::pool::idle::IdleConnections;
 use crate::upstream::pool::waiters::WaiterQueue;
-use ottertiller_balancer::{EndpointId, EndpointState, ListKind, Outcome};
+use ottertiller_balancer::{EndpointId, EndpointState, ListKind};
 use std::collections::{BTreeMap, BTreeSet, btree_map};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -63,7 +64,7 @@
         self.epoch = epoch;
         self.dials_in_flight = 0;
         self.idle.close_all();
-        self.waiters.fail_all(Outcome::NotSent);
+        self.waiters.fail_all(CheckoutError::EndpointUnavailable);
     }
 }
 
@@ -93,7 +94,7 @@
         self.slots.retain(|id, slot| {
             let keep = listed_ids.contains(id);
             if !keep {
-                slot.waiters.fail_all(Outcome::NotSent);
+                slot.waiters.fail_all(CheckoutError::EndpointUnavailable);
             }
             keep
         });
@@ -115,6 +116,11 @@
         self.slots.get_mut(&id)
     }
 
+    /// Returns the endpoint that a connection is checked out for.
+    pub fn available(&mut self, id: EndpointId) -> Result<&mut EndpointSlot, CheckoutError> {
+        self.get_mut(id).ok_or(CheckoutError::EndpointUnavailable)
+    }
+
     /// The endpoint, if it still is in that epoch.
     pub fn in_epoch(&self, id: EndpointId, epoch: Epoch) -> Option<&EndpointSlot> {
         self.slots.get(&id).filter(|slot| slot.epoch == epoch)
--- a/crates/node/src/upstream/pool/tests.rs
+++ b/crates/node/src/upstream/pool/tests.rs
@@ -1,5 +1,6 @@
+use super::error::CheckoutError;
 use super::*;
-use ottertiller_balancer::{EndpointEntry, EndpointState, Outcome};
+use ottertiller_balancer::{EndpointEntry, EndpointState};
 use socket2::SockRef;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::task::LocalSet;
@@ -170,7 +171,11 @@
                 }
             }
             // Not that its dial has failed, which says nothing of the endpoint as it is now.
-            assert_eq!(waiting.await.err(), Some(Outcome::NotSent), "case {case}");
+            assert_eq!(
+                waiting.await.err(),
+                Some(CheckoutError::EndpointUnavailable),
+                "case {case}"
+            );
         });
     }
 }
@@ -215,7 +220,7 @@
         pool.update(ListKind::Delta, &[endpoint]);
         assert_eq!(
             pool.checkout(UNREACHABLE).await.err(),
-            Some(Outcome::ConnectFailed)
+            Some(CheckoutError::ConnectFailed)
         );
         let usage = pool.usage();
         assert_eq!(
@@ -236,7 +241,10 @@
         for _ in 0..MAX_CONNECTIONS {
             in_use.push(pool.checkout(ENDPOINT).await.expect("a connection"));
         }
-        assert_eq!(pool.checkout(ENDPOINT).await.err(), Some(Outcome::NotSent));
+        assert_eq!(
+            pool.checkout(ENDPOINT).await.err(),
+            Some(CheckoutError::ConnectionLimit)
+        );
         let cooling = in_use.pop().expect("a connection");
         let closed = cooling.task.id();
         pool.release_after_response(cooling);
@@ -255,7 +263,10 @@
         pool.update(ListKind::Snapshot, &[]);
         assert_eq!(pool.destination(&in_use), None);
         pool.release(in_use);
-        assert_eq!(pool.checkout(ENDPOINT).await.err(), Some(Outcome::NotSent));
+        assert_eq!(
+            pool.checkout(ENDPOINT).await.err(),
+            Some(CheckoutError::EndpointUnavailable)
+        );
         let nothing = Usage {
             endpoints: 0,
             open_connections: 0,
--- a/crates/node/src/upstream/pool/waiters.rs
+++ b/crates/node/src/upstream/pool/waiters.rs
@@ -1,7 +1,7 @@
 //! The attempts that wait for a connection to one endpoint.
 
 use crate::upstream::pool::connection::{CheckoutResult, Connection};
-use ottertiller_balancer::Outcome;
+use crate::upstream::pool::error::CheckoutError;
 use std::collections::VecDeque;
 use tokio::sync::oneshot;
 
@@ -34,18 +34,18 @@
     }
 
     /// Fails the longest waiting until no more than `remaining` are left.
-    pub fn fail_down_to(&mut self, remaining: usize, outcome: Outcome) {
+    pub fn fail_down_to(&mut self, remaining: usize, error: CheckoutError) {
         while self.0.len() > remaining {
             let Some(waiter) = self.0.pop_front() else {
                 break;
             };
-            let _ = waiter.send(Err(outcome)); // fails only if it has given up
+            let _ = waiter.send(Err(error)); // fails only if it has given up
         }
     }
 
     /// Fails all waiters.
-    pub fn fail_all(&mut self, outcome: Outcome) {
-        self.fail_down_to(0, outcome);
+    pub fn fail_all(&mut self, error: CheckoutError) {
+        self.fail_down_to(0, error);
     }
 
     /// How many wait, those that have given up since the last check included.
