--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -7,7 +7,9 @@
 use crate::upstream::response::{ExchangeResult, outcome_of_error};
 use bytes::Bytes;
 use http_body_util::Full;
-use hyper::Request;
+use hyper::body::Incoming;
+use hyper::client::conn::TrySendError;
+use hyper::{Request, Response};
 use ottertiller_balancer::{EndpointId, Outcome, RequestId};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -18,6 +20,10 @@
 /// So many connections in a row may turn out broken before the request was written to them.
 const MAX_BROKEN_CONNECTIONS: usize = 4;
 
+/// A connection broke before a byte of the request was written to it: the request may go out on
+/// another one.
+struct BrokenBeforeWrite;
+
 /// An attempt to be made.
 pub struct Attempt {
     /// The request.
@@ -55,43 +61,53 @@
         }
     }
 
-    /// Sends the request and reads the response; `written` is true while the endpoint may have got
-    /// any of it.
+    /// Sends the request and reads the response, on another connection if one breaks before
+    /// anything was written to it; `written` is true while the endpoint may have got any of it.
     async fn exchange_attempt(&self, attempt: &Attempt, written: &Cell<bool>) -> ExchangeResult {
         for _ in 0..MAX_BROKEN_CONNECTIONS {
-            let mut connection = match self.pool.checkout(attempt.endpoint).await {
-                Ok(connection) => connection,
-                Err(error) => return ExchangeResult::without_response(error.outcome()),
-            };
-            if connection.sender.ready().await.is_err() {
-                continue;
-            }
-            // Time has passed since the decision: what was permitted then may not be any more.
-            let Some(request) = self.permitted_request(attempt, &connection) else {
-                self.pool.release(connection);
-                return ExchangeResult::without_response(Outcome::NotSent);
-            };
-            written.set(true);
-            match connection.sender.try_send_request(request).await {
-                Ok(response) => {
-                    let received = self.read_response(connection, response).await;
-                    if let Some(connection) = received.connection {
-                        self.pool.release_after_response(connection);
-                    }
-                    return received.result;
-                }
-                Err(mut error) => match error.take_message() {
-                    // Not a byte of it was written, so that it may go out on another connection.
-                    Some(_) => written.set(false),
-                    None => {
-                        return ExchangeResult::without_response(outcome_of_error(error.error()));
-                    }
-                },
+            if let Ok(result) = self.exchange_once(attempt, written).await {
+                return result;
             }
         }
         ExchangeResult::without_response(Outcome::ConnectFailed)
     }
 
+    /// Sends the request on one connection and reads the response.
+    async fn exchange_once(
+        &self,
+        attempt: &Attempt,
+        written: &Cell<bool>,
+    ) -> Result<ExchangeResult, BrokenBeforeWrite> {
+        let mut connection = match self.pool.checkout(attempt.endpoint).await {
+            Ok(connection) => connection,
+            Err(error) => return Ok(ExchangeResult::without_response(error.outcome())),
+        };
+        let ready = connection.sender.ready().await;
+        ready.map_err(|_| BrokenBeforeWrite)?;
+        // Time has passed since the decision: what was permitted then may not be any more.
+        let Some(request) = self.permitted_request(attempt, &connection) else {
+            self.pool.release(connection);
+            return Ok(ExchangeResult::without_response(Outcome::NotSent));
+        };
+        written.set(true);
+        match connection.sender.try_send_request(request).await {
+            Ok(response) => Ok(self.receive(connection, response).await),
+            Err(error) => result_of_send_error(error, written),
+        }
+    }
+
+    async fn receive(
+        &self,
+        connection: Connection,
+        response: Response<Incoming>,
+    ) -> ExchangeResult {
+        let received = self.read_response(connection, response).await;
+        if let Some(connection) = received.connection {
+            self.pool.release_after_response(connection);
+        }
+        received.result
+    }
+
     /// The request as it is to be written now, if it still may be.
     fn permitted_request(
         &self,
@@ -103,6 +119,20 @@
     }
 }
 
+/// Returns how an attempt ended whose request could not be sent, or got no response. Whether any of
+/// it was written, only the connection knows: it gives an unwritten request back.
+fn result_of_send_error(
+    mut error: TrySendError<Request<Full<Bytes>>>,
+    written: &Cell<bool>,
+) -> Result<ExchangeResult, BrokenBeforeWrite> {
+    if error.take_message().is_some() {
+        written.set(false);
+        return Err(BrokenBeforeWrite);
+    }
+    let outcome = outcome_of_error(error.error());
+    Ok(ExchangeResult::without_response(outcome))
+}
+
 /// How an attempt that was stopped ended; the reason is missing if the driver has forgotten the
 /// attempt.
 fn outcome_of_stop(reason: Result<StopReason, RecvError>, written: bool) -> Outcome {
