--- a/crates/node/src/upstream/response.rs
+++ b/crates/node/src/upstream/response.rs
@@ -55,13 +55,25 @@
     pub connection: Option<Connection>,
 }
 
-/// Why a response was dropped unread.
+impl ReceivedResponse {
+    /// Returns a response after which the connection is closed.
+    fn closing_connection(result: ExchangeResult) -> Self {
+        ReceivedResponse {
+            result,
+            connection: None,
+        }
+    }
+}
+
+/// Why a response is dropped before its body is read.
 #[derive(Debug, thiserror::Error)]
-enum Unreadable {
+enum ResponseDropped {
+    /// The body is longer than any that is forwarded.
     #[error("endpoint {:x}: response too long: dropped", .0.0)]
     TooLong(EndpointId),
+    /// No memory is left for the body.
     #[error("memory budget exhausted: response dropped")]
-    OutOfMemory,
+    MemoryBudgetExhausted,
 }
 
 impl Upstream {
@@ -74,59 +86,59 @@
         response: Response<Incoming>,
     ) -> ReceivedResponse {
         let (head, body) = response.into_parts();
-        let ends_with_connection =
-            body.size_hint().exact().is_none() && !head.headers.contains_key(TRANSFER_ENCODING);
+        let keeps_connection = is_delimited(&head.headers, &body);
         let report = self.load_reports.parse_headers(&head.headers);
         let lease = match self.lease_for_body(connection.endpoint, &body) {
             Ok(lease) => lease,
             Err(error) => {
                 log_peer(error);
                 let result = ExchangeResult::without_body(Outcome::Error, report);
-                return ReceivedResponse {
-                    result,
-                    connection: None,
-                };
+                return ReceivedResponse::closing_connection(result);
             }
         };
         let body = match Limited::new(body, MAX_BODY_BYTES).collect().await {
             Ok(body) => lease.keep(body.to_bytes()),
             Err(error) => {
-                let outcome = error
-                    .downcast_ref()
-                    .map_or(Outcome::Error, outcome_of_error);
-                let result = ExchangeResult::without_response(outcome);
-                return ReceivedResponse {
-                    result,
-                    connection: None,
-                };
+                let result = ExchangeResult::without_response(outcome_of_body_error(&*error));
+                return ReceivedResponse::closing_connection(result);
             }
         };
         let outcome = outcome_of_status(head.status, &head.headers);
-        let body = (outcome == Outcome::Served).then_some(body);
-        let connection = (!ends_with_connection).then_some(connection);
+        let result = ExchangeResult {
+            outcome,
+            report,
+            body: (outcome == Outcome::Served).then_some(body),
+        };
         ReceivedResponse {
-            result: ExchangeResult {
-                outcome,
-                report,
-                body,
-            },
-            connection,
+            result,
+            connection: keeps_connection.then_some(connection),
         }
     }
 
     /// Room in memory for a response's body.
-    fn lease_for_body(&self, endpoint: EndpointId, body: &Incoming) -> Result<Lease, Unreadable> {
+    fn lease_for_body(
+        &self,
+        endpoint: EndpointId,
+        body: &Incoming,
+    ) -> Result<Lease, ResponseDropped> {
         let max_length = match body.size_hint().exact() {
             Some(length) => usize::try_from(length).unwrap_or(usize::MAX),
             None => MAX_BODY_BYTES,
         };
         if max_length > MAX_BODY_BYTES {
-            return Err(Unreadable::TooLong(endpoint));
+            return Err(ResponseDropped::TooLong(endpoint));
         }
-        self.budget.lease(max_length).ok_or(Unreadable::OutOfMemory)
+        self.budget
+            .lease(max_length)
+            .ok_or(ResponseDropped::MemoryBudgetExhausted)
     }
 }
 
+/// Returns whether a response says where its body ends; one that does not ends with its connection.
+fn is_delimited(headers: &HeaderMap, body: &Incoming) -> bool {
+    body.size_hint().exact().is_some() || headers.contains_key(TRANSFER_ENCODING)
+}
+
 fn outcome_of_status(status: StatusCode, headers: &HeaderMap) -> Outcome {
     let rejected = headers
         .get(REJECTED)
@@ -141,6 +153,13 @@
     }
 }
 
+/// Returns how an exchange ended whose response's body broke off, or was too long.
+fn outcome_of_body_error(error: &(dyn Error + 'static)) -> Outcome {
+    error
+        .downcast_ref()
+        .map_or(Outcome::Error, outcome_of_error)
+}
+
 /// What a response that did not arrive completely says about its endpoint. Where the connection
 /// ended, the process may have died. Where the bytes made no sense, something responds there: that
 /// is a failure like another, and no reason to take the endpoint out of use.
