--- a/crates/node/src/socket/tests.rs
+++ b/crates/node/src/socket/tests.rs
@@ -1,7 +1,10 @@
+use super::Socket;
 use super::fault_injection::InjectedFaults;
-use super::*;
+use super::read_ahead::MAX_READ_AHEAD_BYTES;
 use rustix::io::Errno;
+use socket2::SockRef;
 use std::io::Write;
+use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::time::timeout;
 
@@ -21,9 +24,9 @@
         for (waits, resets) in [
             (0, false),
             (1, false),
-            (MAX_READ_BYTES, false),
-            (5 * MAX_READ_BYTES, false),
-            (5 * MAX_READ_BYTES, true),
+            (MAX_READ_AHEAD_BYTES, false),
+            (5 * MAX_READ_AHEAD_BYTES, false),
+            (5 * MAX_READ_AHEAD_BYTES, true),
         ] {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let address = listener.local_addr().expect("its address");
