--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -16,16 +16,23 @@
 
 /// A list is no JSON, or lacks what every list has.
 #[derive(Debug, thiserror::Error)]
-#[error("malformed endpoint list dropped: {0}")]
+#[error("malformed endpoint list dropped")]
 pub struct MalformedList(#[from] serde_json::Error);
 
 /// Why an entry of a list was dropped.
 #[derive(Debug, thiserror::Error)]
 pub enum EntryError {
-    #[error("malformed endpoint list entry dropped: {0}")]
+    /// It is no JSON object with the fields of an entry.
+    #[error("malformed endpoint list entry dropped")]
     Malformed(#[from] serde_json::Error),
+    /// Its zone is none of the settings'.
     #[error("malformed endpoint list entry dropped: {name}: unknown zone {zone}")]
-    UnknownZone { name: String, zone: String },
+    UnknownZone {
+        /// The endpoint's name.
+        name: String,
+        /// The zone's name.
+        zone: String,
+    },
 }
 
 /// A list or a change of it, its entries not parsed yet: a malformed one is dropped alone.
--- a/crates/node/src/discovery/error.rs
+++ b/crates/node/src/discovery/error.rs
@@ -8,10 +8,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
     /// The connection was not established within its timeout.
-    #[error("not connected in time")]
+    #[error("connect timed out")]
     ConnectTimedOut,
     /// The connection could not be established.
-    #[error("cannot connect: {0}")]
+    #[error("cannot connect")]
     Connect(#[source] io::Error),
     /// The response or the next list did not arrive within its timeout.
     #[error("timed out")]
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -11,7 +11,7 @@
 mod readiness;
 mod watch;
 
-use crate::logging::log;
+use crate::logging::{error_chain, log};
 use crate::message::{DiscoveryCommand, EndpointListUpdate, ListedEndpoint, Message};
 use backoff::{ReconnectBackoff, longest_wait};
 use client::Client;
@@ -158,7 +158,7 @@
             return entries;
         }
         log(format_args!(
-            "stale changes of version {} dropped: the endpoint list is at {}",
+            "stale endpoint list changes dropped: version {}: the endpoint list is at {}",
             version.number(),
             self.version.number()
         ));
@@ -170,7 +170,7 @@
         for entry in entries {
             match self.parser.parse(entry) {
                 Ok(endpoint) => endpoints.push(endpoint),
-                Err(error) => log(error),
+                Err(error) => log(error_chain(&error)),
             }
         }
         endpoints
@@ -190,7 +190,7 @@
     match EndpointList::parse(text) {
         Ok(list) => Some(list),
         Err(error) => {
-            log(error);
+            log(error_chain(&error));
             None
         }
     }
--- a/crates/node/src/discovery/poll.rs
+++ b/crates/node/src/discovery/poll.rs
@@ -2,8 +2,8 @@
 //! to it.
 
 use crate::discovery::error::ClientError;
+use crate::discovery::watch::log_watch_failure;
 use crate::discovery::{Discovery, next_address};
-use crate::logging::log;
 use crate::message::DiscoveryCommand;
 use ottertiller_balancer::ListKind;
 use std::net::SocketAddr;
@@ -65,7 +65,7 @@
                     subscription = subscription.after_move();
                 }
                 PollEvent::WatchFailed(error) => {
-                    log(format_args!("endpoint list watch failed: {error}"));
+                    log_watch_failure(&error);
                     subscription = Subscription::Failed;
                     self.publish(ListKind::Failed, Vec::new()).await;
                 }
--- a/crates/node/src/discovery/watch.rs
+++ b/crates/node/src/discovery/watch.rs
@@ -2,7 +2,7 @@
 
 use crate::discovery::error::ClientError;
 use crate::discovery::{Discovery, ListSource, next_address, parse_list};
-use crate::logging::log;
+use crate::logging::{error_chain, log};
 use std::convert::Infallible;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,7 +17,7 @@
             tokio::select! {
                 error = self.watch() => {
                     let wait = self.backoff.next_wait(opened.elapsed());
-                    log(format_args!("endpoint list watch failed: {error}"));
+                    log_watch_failure(&error);
                     self.wait_to_watch_again(wait, &mut addresses).await;
                 }
                 address = next_address(&mut addresses) => self.move_to(address),
@@ -53,3 +53,9 @@
         }
     }
 }
+
+/// Logs why a watch has failed.
+pub(super) fn log_watch_failure(error: &ClientError) {
+    let cause = error_chain(error);
+    log(format_args!("endpoint list watch failed: {cause}"));
+}
--- a/crates/node/src/logging.rs
+++ b/crates/node/src/logging.rs
@@ -3,9 +3,11 @@
 //! A line reads `what happened: subject: cause`. Lines that do not fit into the writer's queue are
 //! lost: the log never blocks the node.
 
+mod error_chain;
 mod rate_limit;
 mod writer;
 
+pub use error_chain::error_chain;
 pub use writer::flush;
 
 use rate_limit::PeerLineLimit;
--- a/crates/node/src/logging/rate_limit.rs
+++ b/crates/node/src/logging/rate_limit.rs
@@ -4,6 +4,7 @@
 
 /// The most lines in each interval.
 const MAX_PEER_LINES: u32 = 10;
+/// The length of an interval.
 const PEER_LINES_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Limits the number of lines in each interval. An interval starts with the first line after the
@@ -14,6 +15,7 @@
     lines_in_interval: u32,
     suppressed: u64,
 }
+
 impl PeerLineLimit {
     /// Returns a limit that has admitted no line yet.
     pub const fn new() -> Self {
