--- a/crates/node/src/upstream/pool/checkout.rs
+++ b/crates/node/src/upstream/pool/checkout.rs
@@ -63,7 +63,12 @@
     fn start_dial(self: &Rc<Self>, endpoint: EndpointId) -> Result<(), CheckoutError> {
         // The permit may cost an idle connection to any endpoint, so that the registry must not be
         // borrowed yet.
-        let permit = self.acquire_permit()?;
+        let permit = self.acquire_permit().inspect_err(|error| {
+            let endpoint = endpoint.0;
+            log_peer(format_args!(
+                "attempt not sent: endpoint {endpoint:x}: {error}"
+            ));
+        })?;
         let mut registry = self.registry.borrow_mut();
         let slot = registry.available(endpoint)?;
         slot.dials_in_flight += 1;
@@ -92,10 +97,8 @@
             return Ok(permit);
         }
         self.registry.borrow_mut().close_longest_idle();
-        self.limit.try_acquire().ok_or_else(|| {
-            let error = CheckoutError::ConnectionLimit;
-            log_peer(format_args!("{error}: attempt not sent"));
-            error
-        })
+        self.limit
+            .try_acquire()
+            .ok_or(CheckoutError::ConnectionLimit)
     }
 }
--- a/crates/node/src/upstream/pool/dial.rs
+++ b/crates/node/src/upstream/pool/dial.rs
@@ -1,7 +1,7 @@
 //! Dialling: opening a connection to an endpoint.
 
 use crate::limits::READ_BUFFER_BYTES;
-use crate::logging::log_peer;
+use crate::logging::{error_chain, log_peer};
 use crate::socket::{self, Socket};
 use crate::upstream::pool::Pool;
 use crate::upstream::pool::connection::{CheckoutResult, Connection, ConnectionPermit};
@@ -34,14 +34,17 @@
 enum DialError {
     /// This node or its system is out of descriptors, memory or ports, which says nothing about the
     /// endpoint.
-    #[error("cannot dial: {0}")]
-    LocalResources(io::Error),
-    #[error("cannot connect: {0}")]
-    Connect(io::Error),
-    #[error("not connected in time")]
+    #[error("out of local resources")]
+    LocalResources(#[source] io::Error),
+    /// The endpoint could not be connected to.
+    #[error("cannot connect")]
+    Connect(#[source] io::Error),
+    /// The connection was not established within its timeout.
+    #[error("connect timed out")]
     TimedOut,
-    #[error("the handshake failed: {0}")]
-    Handshake(hyper::Error),
+    /// The HTTP layer could not be set up on the connection.
+    #[error("handshake failed")]
+    Handshake(#[source] hyper::Error),
 }
 
 impl DialError {
@@ -79,15 +82,19 @@
     }
 
     async fn dial(&self, dial: Dial) -> CheckoutResult {
-        connect(dial, self.options.connect_timeout)
-            .await
-            .map_err(|error| {
-                if let DialError::LocalResources(_) = error {
-                    log_peer(&error);
-                    self.registry.borrow_mut().close_longest_idle();
-                }
-                error.into()
-            })
+        let endpoint = dial.endpoint;
+        let connected = connect(dial, self.options.connect_timeout).await;
+        connected.map_err(|error| {
+            if let DialError::LocalResources(_) = error {
+                let cause = error_chain(&error);
+                log_peer(format_args!(
+                    "cannot dial: endpoint {:x}: {cause}",
+                    endpoint.0
+                ));
+                self.registry.borrow_mut().close_longest_idle();
+            }
+            error.into()
+        })
     }
 
     fn dial_ended(&self, endpoint: EndpointId, epoch: Epoch, result: CheckoutResult) {
--- a/crates/node/src/upstream/response.rs
+++ b/crates/node/src/upstream/response.rs
@@ -10,7 +10,7 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderMap, HeaderName, TRANSFER_ENCODING};
 use hyper::{Response, StatusCode};
-use ottertiller_balancer::{EndpointId, LoadReport, Outcome};
+use ottertiller_balancer::{LoadReport, Outcome};
 use std::error::Error;
 use std::io::{self, ErrorKind};
 
@@ -69,10 +69,10 @@
 #[derive(Debug, thiserror::Error)]
 enum ResponseDropped {
     /// The body is longer than any that is forwarded.
-    #[error("endpoint {:x}: response too long: dropped", .0.0)]
-    TooLong(EndpointId),
+    #[error("response too long")]
+    TooLong,
     /// No memory is left for the body.
-    #[error("memory budget exhausted: response dropped")]
+    #[error("memory budget exhausted")]
     MemoryBudgetExhausted,
 }
 
@@ -88,10 +88,13 @@
         let (head, body) = response.into_parts();
         let keeps_connection = is_delimited(&head.headers, &body);
         let report = self.load_reports.parse_headers(&head.headers);
-        let lease = match self.lease_for_body(connection.endpoint, &body) {
+        let lease = match self.lease_for_body(&body) {
             Ok(lease) => lease,
             Err(error) => {
-                log_peer(error);
+                let endpoint = connection.endpoint.0;
+                log_peer(format_args!(
+                    "response dropped: endpoint {endpoint:x}: {error}"
+                ));
                 let result = ExchangeResult::without_body(Outcome::Error, report);
                 return ReceivedResponse::closing_connection(result);
             }
@@ -116,17 +119,13 @@
     }
 
     /// Room in memory for a response's body.
-    fn lease_for_body(
-        &self,
-        endpoint: EndpointId,
-        body: &Incoming,
-    ) -> Result<Lease, ResponseDropped> {
+    fn lease_for_body(&self, body: &Incoming) -> Result<Lease, ResponseDropped> {
         let max_length = match body.size_hint().exact() {
             Some(length) => usize::try_from(length).unwrap_or(usize::MAX),
             None => MAX_BODY_BYTES,
         };
         if max_length > MAX_BODY_BYTES {
-            return Err(ResponseDropped::TooLong(endpoint));
+            return Err(ResponseDropped::TooLong);
         }
         self.budget
             .lease(max_length)
