--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -24,7 +24,7 @@
 }
 
 impl Client {
-    /// A client of the discovery that listens at `address`.
+    /// Returns a client of the discovery service that listens at `address`.
     pub fn new(address: SocketAddr, connect_timeout: Duration) -> Self {
         Client {
             address,
@@ -32,12 +32,12 @@
         }
     }
 
-    /// Calls go to this address from now on.
+    /// Sends calls to this address from now on.
     pub fn set_address(&mut self, address: SocketAddr) {
         self.address = address;
     }
 
-    /// Watches the list from the version that the node has.
+    /// Opens a watch that begins with the changes after `version`, the one that the node has.
     pub async fn watch(&self, version: u64) -> Result<Watch, ClientError> {
         let deadline = ListDeadline::start();
         let path = format!("{LIST_PATH}?stream=1&index={version}");
@@ -50,6 +50,7 @@
         })
     }
 
+    /// Connects, sends a request and waits until its response begins.
     async fn exchange(&self, path: &str) -> Result<Call, ClientError> {
         let connected = timeout(self.connect_timeout, socket::connect(self.address)).await;
         let stream = connected
@@ -99,7 +100,7 @@
 }
 
 impl Watch {
-    /// The text of the next list or change of the list.
+    /// Returns the text of the next list or delta, once it has arrived whole.
     pub async fn next_list(&mut self) -> Result<Bytes, ClientError> {
         loop {
             match self.framer.next_line()? {
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -102,7 +102,7 @@
 }
 
 impl EntryParser {
-    /// A parser for zones and machine types of these names, in the order of their numbers.
+    /// Returns a parser for zones and machine types of these names, in the order of their numbers.
     pub fn new(zone_names: Vec<String>, machine_type_names: Vec<String>) -> Self {
         EntryParser {
             zone_names,
@@ -137,6 +137,7 @@
         })
     }
 
+    /// Returns the number of a zone; `None` if its name is not in the settings.
     fn zone(&self, name: &str) -> Option<u8> {
         if name.is_empty() {
             Some(DEFAULT_ZONE)
@@ -146,14 +147,16 @@
     }
 }
 
+/// Returns the position of a name, which is its number.
 fn position(names: &[String], name: &str) -> Option<u8> {
     let position = names.iter().position(|known| known == name)?;
     u8::try_from(position).ok()
 }
 
-/// An endpoint's number: the 64-bit FNV-1a hash of its name. It depends on the name alone, since it
-/// must be the same at every node and after every restart; nodes agree by it without a message
-/// between them. Never change it.
+/// Returns an endpoint's number: the 64-bit FNV-1a hash of its name.
+///
+/// It depends on the name alone, since it must be the same at every node and after every restart;
+/// nodes agree by it without a message between them. Never change it.
 fn endpoint_id(name: &str) -> EndpointId {
     let mut hasher = FnvHasher::default();
     hasher.write(name.as_bytes());
--- a/crates/node/src/discovery/framing.rs
+++ b/crates/node/src/discovery/framing.rs
@@ -41,7 +41,7 @@
         self.unread.extend_from_slice(data);
     }
 
-    /// What has arrived whole and was not returned yet.
+    /// Returns the next list or heartbeat that has arrived whole; `None` until more data arrives.
     pub fn next_line(&mut self) -> Result<Option<WatchLine>, ListTooLong> {
         while let Some(line_end) = self.find_line_end() {
             if let Some(line) = self.take_line(line_end) {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The end of the line that is being read, past its line feed, once that has arrived.
+    /// Returns the end of the line that is being read, past its line feed, once that has arrived.
     fn find_line_end(&mut self) -> Option<usize> {
         let search_start = self.line_start + self.line_searched;
         let line_feed = self.unread[search_start..]
@@ -70,7 +70,7 @@
         Some(search_start + line_feed? + 1)
     }
 
-    /// Goes on to the next line; returns what has ended with this one.
+    /// Goes on to the next line, and returns what has ended with this one.
     fn take_line(&mut self, line_end: usize) -> Option<WatchLine> {
         let line = &self.unread[self.line_start..line_end];
         let is_blank = line.trim_ascii().is_empty();
@@ -92,7 +92,8 @@
         (self.open_brackets <= 0).then(|| self.split_list(line_end))
     }
 
-    /// Whether a list is complete though no line feed has come: an indented one may end without.
+    /// Returns whether a list is complete though no line feed has come: an indented one may end
+    /// without.
     fn is_complete_without_line_end(&self) -> bool {
         let line = &self.unread[self.line_start..];
         let ends_with_bracket = line.trim_ascii_end().ends_with(b"}");
@@ -100,6 +101,7 @@
             && bracket_depth(line).is_some_and(|depth| self.open_brackets + depth == 0)
     }
 
+    /// Splits off what has arrived up to `end` as a list.
     fn split_list(&mut self, end: usize) -> WatchLine {
         self.line_start = 0;
         self.line_searched = 0;
@@ -108,15 +110,15 @@
     }
 }
 
-/// Whether a line that closes all brackets that it opens is a list of its own, and not a part of
-/// one.
+/// Returns whether a line that closes all brackets that it opens is a list of its own, and not a
+/// part of one.
 fn is_list(line: &[u8]) -> bool {
     const ENTRIES: &[u8] = b"\"endpoints\"";
     line.starts_with(b"{") && line.windows(ENTRIES.len()).any(|part| part == ENTRIES)
 }
 
-/// How many more brackets a line opens than it closes; `None` if it ends within a string, which no
-/// line of JSON does.
+/// Returns how many more brackets a line opens than it closes; `None` if it ends within a string,
+/// which no line of JSON does.
 fn bracket_depth(line: &[u8]) -> Option<i64> {
     let mut depth = 0;
     let mut in_string = false;
--- a/crates/node/src/discovery/list_deadline.rs
+++ b/crates/node/src/discovery/list_deadline.rs
@@ -32,7 +32,7 @@
 }
 
 impl ListDeadline {
-    /// A limit that begins now.
+    /// Returns a time limit that begins now.
     pub fn start() -> Self {
         ListDeadline {
             started: Instant::now(),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Runs a call until its response begins.
+    /// Runs a call until its response begins, or fails with [`ClientError::TimedOut`].
     pub async fn limit_call<T>(
         &self,
         call: impl Future<Output = Result<T, ClientError>>,
@@ -50,7 +50,8 @@
             .map_err(|_| ClientError::TimedOut)?
     }
 
-    /// The next part of a body; `None` at its end.
+    /// Returns the next part of a body; `None` at its end. Fails with [`ClientError::TimedOut`] if
+    /// the list is late.
     pub async fn next_part(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, ClientError> {
         let mut check_at = self.started + LIST_TIMEOUT;
         loop {
@@ -58,22 +59,24 @@
                 Ok(None) => return Ok(None),
                 Ok(Some(frame)) => {
                     if let Ok(data) = frame?.into_data() {
-                        self.count(data.len());
+                        self.record_arrival(data.len());
                         return Ok(Some(data));
                     }
                 }
-                Err(_) if self.may_go_on() => check_at = Instant::now() + PACE_CHECK_INTERVAL,
+                Err(_) if self.is_on_pace() => check_at = Instant::now() + PACE_CHECK_INTERVAL,
                 Err(_) => return Err(ClientError::TimedOut),
             }
         }
     }
 
-    fn count(&mut self, bytes: usize) {
+    /// Records bytes of the list that have arrived.
+    fn record_arrival(&mut self, bytes: usize) {
         let (_, arrived) = self.arriving.get_or_insert((Instant::now(), 0));
         *arrived += bytes;
     }
 
-    fn may_go_on(&self) -> bool {
+    /// Returns whether the list arrives fast enough to become whole in time.
+    fn is_on_pace(&self) -> bool {
         let Some((first, bytes)) = self.arriving else {
             return false;
         };
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -66,6 +66,7 @@
 }
 
 impl ListSource {
+    /// Returns the kind of a list from this source.
     fn kind(self, is_snapshot: bool) -> ListKind {
         match self {
             ListSource::Cached => ListKind::Cached,
@@ -76,7 +77,7 @@
 }
 
 impl Discovery {
-    /// Discovery that has not been called yet; lists go to `messages`.
+    /// Returns a discovery that has made no call yet, and sends lists to `messages`.
     pub fn new(options: DiscoveryOptions, messages: mpsc::Sender<Message>) -> Self {
         let longest_wait = longest_wait(options.drain_grace);
         Discovery {
@@ -92,12 +93,12 @@
         }
     }
 
-    /// Whether the node knows enough endpoints to serve.
+    /// Returns the flag that says whether the node knows enough endpoints to serve.
     pub fn ready(&self) -> Rc<Cell<bool>> {
         self.readiness.flag()
     }
 
-    /// Keeps the list up to date, from the last of `addresses` whenever that changes.
+    /// Keeps the list up to date. Moves to the last of `addresses` whenever that changes.
     pub async fn run(
         mut self,
         commands: mpsc::Receiver<DiscoveryCommand>,
@@ -111,6 +112,7 @@
         }
     }
 
+    /// Applies the cached list of the configuration.
     async fn start_from_cached_list(&mut self) {
         let cached_list = self.cached_list.take().unwrap_or_default();
         let Some(list) = parse_list(cached_list.as_bytes()) else {
@@ -124,8 +126,10 @@
         }
     }
 
-    /// Discovery is elsewhere from now on. The list stays until that has sent a complete one, whose
-    /// versions need not be comparable with the old one's.
+    /// Makes calls to another address from now on.
+    ///
+    /// The list stays until discovery has sent a complete one from there, whose versions need not
+    /// be comparable with the old one's.
     fn move_to(&mut self, address: SocketAddr) {
         self.client.set_address(address);
         self.backoff.reset();
@@ -146,8 +150,9 @@
         }
     }
 
-    /// Returns the entries of an update; none if it is stale, since they would take back what is
-    /// known since, such as that an endpoint drains.
+    /// Returns the entries of an update; none if it is stale.
+    ///
+    /// A stale delta would take back what is known since, such as that an endpoint drains.
     fn current_entries(
         &self,
         kind: ListKind,
@@ -165,6 +170,7 @@
         Vec::new()
     }
 
+    /// Parses entries; those that are malformed are logged and dropped.
     fn parse_entries(&self, entries: Vec<Value>) -> Vec<ListedEndpoint> {
         let mut endpoints = Vec::new();
         for entry in entries {
@@ -176,13 +182,15 @@
         endpoints
     }
 
+    /// Sends an update to the driver.
     async fn publish(&self, kind: ListKind, endpoints: Vec<ListedEndpoint>) {
         let update = Message::EndpointList(EndpointListUpdate { kind, endpoints });
         let _ = self.messages.send(update).await; // fails only when the node has ended
     }
 }
 
-/// Parses a list, but not its entries; `None` if the text is empty, or malformed and dropped.
+/// Parses a list, but not its entries; returns `None` if the text is empty, or malformed and
+/// dropped.
 fn parse_list(text: &[u8]) -> Option<EndpointList> {
     if text.is_empty() {
         return None;
@@ -196,7 +204,7 @@
     }
 }
 
-/// The next address that discovery moves to.
+/// Waits until discovery moves, and returns its new address.
 async fn next_address(addresses: &mut watch_channel::Receiver<SocketAddr>) -> SocketAddr {
     match addresses.changed().await {
         Ok(()) => *addresses.borrow_and_update(),
--- a/crates/node/src/discovery/poll.rs
+++ b/crates/node/src/discovery/poll.rs
@@ -41,7 +41,7 @@
 }
 
 impl Discovery {
-    /// Carries out the balancer's commands.
+    /// Carries out the balancer's commands until the node has ended.
     pub(super) async fn poll_on_command(
         &mut self,
         mut commands: mpsc::Receiver<DiscoveryCommand>,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The next event; a watch is open meanwhile if there is to be one.
+    /// Waits for the next event. A watch is open meanwhile if the balancer has commanded one.
     async fn next_poll_event(
         &mut self,
         subscription: Subscription,
--- a/crates/node/src/discovery/readiness.rs
+++ b/crates/node/src/discovery/readiness.rs
@@ -15,18 +15,20 @@
 pub struct Readiness(Rc<Cell<bool>>);
 
 impl Readiness {
-    /// The flag, for the side that accepts clients.
+    /// Returns the flag, for the side that accepts clients.
     pub fn flag(&self) -> Rc<Cell<bool>> {
         self.0.clone()
     }
 
-    /// The node knows enough.
+    /// Marks the node as ready.
     pub fn set(&self) {
         self.0.set(true);
     }
 
-    /// The node has endpoints from a cached list. It may be old: the first call may still bring a
-    /// newer one before clients come.
+    /// Marks the node as ready once the first call has had its time.
+    ///
+    /// The node has endpoints from a cached list, which may be old: the first call may still bring
+    /// a newer one before clients come.
     pub fn set_after_first_call(&self) {
         let flag = self.flag();
         spawn_local(async move {
--- a/crates/node/src/discovery/watch.rs
+++ b/crates/node/src/discovery/watch.rs
@@ -10,7 +10,8 @@
 use tokio::time::{Instant, sleep};
 
 impl Discovery {
-    /// Watches for good. While a watch is broken, the list stays as it is.
+    /// Watches the list, and opens the watch anew whenever it fails. The list stays as it is
+    /// meanwhile.
     pub(super) async fn watch_forever(&mut self, mut addresses: watch::Receiver<SocketAddr>) {
         loop {
             let opened = Instant::now();
@@ -37,12 +38,13 @@
         }
     }
 
-    /// Watches until that breaks; returns why.
+    /// Watches the list until that fails, and returns why.
     pub(super) async fn watch(&mut self) -> ClientError {
         let Err(error) = self.apply_watched_lists().await;
         error
     }
 
+    /// Applies each list that a watch brings.
     async fn apply_watched_lists(&mut self) -> Result<Infallible, ClientError> {
         let mut watch = self.client.watch(self.version.number()).await?;
         loop {
--- a/crates/node/src/logging/writer.rs
+++ b/crates/node/src/logging/writer.rs
@@ -42,10 +42,12 @@
     }
 }
 
+/// Returns the writer's queue. The first call starts the writer.
 fn queue() -> Option<&'static SyncSender<Entry>> {
     QUEUE.get_or_init(start_writer).as_ref()
 }
 
+/// Starts the writer's thread.
 fn start_writer() -> Option<SyncSender<Entry>> {
     let (queue, entries) = sync_channel(QUEUE_LENGTH);
     let writer = thread::Builder::new().stack_size(WRITER_STACK_BYTES);
@@ -53,6 +55,7 @@
     Some(queue)
 }
 
+/// Writes entries for as long as the process runs.
 fn write_all(entries: Receiver<Entry>) {
     for entry in entries {
         match entry {
--- a/crates/node/src/socket/fault_injection.rs
+++ b/crates/node/src/socket/fault_injection.rs
@@ -23,7 +23,7 @@
 pub struct InjectedFaults(());
 
 impl InjectedFaults {
-    /// One call of so many fails.
+    /// Makes one call in `fail_every` fail with `errno`.
     pub fn errors(errno: Errno, fail_every: u32) -> Self {
         Self::start(Plan {
             fail_every,
@@ -34,7 +34,7 @@
         })
     }
 
-    /// Reads are short, and none fails.
+    /// Makes reads short. None of them fails.
     pub fn short_reads() -> Self {
         Self::start(Plan {
             fail_every: 0,
@@ -50,7 +50,7 @@
         InjectedFaults(())
     }
 
-    /// How many faults there were.
+    /// Returns how many faults were injected.
     pub fn count(&self) -> usize {
         FAULTS.with_borrow(|plan| plan.map_or(0, |plan| plan.injected))
     }
@@ -62,7 +62,7 @@
     }
 }
 
-/// The error of the call that is to be made now, if it is to fail.
+/// Returns the error of the call that is to be made now, if it is to fail.
 pub fn inject() -> Option<io::Error> {
     FAULTS.with_borrow_mut(|plan| {
         let plan = plan.as_mut().filter(|plan| plan.fail_every > 0)?;
@@ -75,7 +75,7 @@
     })
 }
 
-/// The part of a buffer that a read may fill.
+/// Returns the part of a buffer that a read may fill.
 pub fn shorten(buffer: &mut [u8]) -> &mut [u8] {
     let is_short = FAULTS.with_borrow_mut(|plan| {
         let plan = plan
--- a/crates/node/src/socket/stream.rs
+++ b/crates/node/src/socket/stream.rs
@@ -24,6 +24,7 @@
         (Socket(shared), handle)
     }
 
+    /// Writes once the stream is writable.
     fn poll_try_write(
         &self,
         cx: &mut Context<'_>,
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -39,7 +39,7 @@
 }
 
 impl Upstream {
-    /// Makes an attempt, until it ends or is stopped.
+    /// Makes an attempt until it ends or is stopped, and returns how it ended.
     pub async fn run_attempt(
         self: Rc<Self>,
         attempt: Attempt,
@@ -96,6 +96,8 @@
         }
     }
 
+    /// Reads the response, and gives the connection back to the pool if it can carry another
+    /// request.
     async fn receive(
         &self,
         connection: Connection,
@@ -108,7 +110,7 @@
         received.result
     }
 
-    /// The request as it is to be written now, if it still may be.
+    /// Returns the request as it is to be written now, if it still may be.
     fn permitted_request(
         &self,
         attempt: &Attempt,
@@ -119,8 +121,9 @@
     }
 }
 
-/// Returns how an attempt ended whose request could not be sent, or got no response. Whether any of
-/// it was written, only the connection knows: it gives an unwritten request back.
+/// Returns how an attempt ended whose request could not be sent, or got no response.
+///
+/// An error that gives the request back means that not a byte of it was written.
 fn result_of_send_error(
     mut error: TrySendError<Request<Full<Bytes>>>,
     written: &Cell<bool>,
@@ -133,8 +136,8 @@
     Ok(ExchangeResult::without_response(outcome))
 }
 
-/// How an attempt that was stopped ended; the reason is missing if the driver has forgotten the
-/// attempt.
+/// Returns how an attempt ended that was stopped. The reason is missing if the driver has forgotten
+/// the attempt.
 fn outcome_of_stop(reason: Result<StopReason, RecvError>, written: bool) -> Outcome {
     if !written {
         return Outcome::NotSent;
--- a/crates/node/src/upstream/health_check.rs
+++ b/crates/node/src/upstream/health_check.rs
@@ -17,7 +17,8 @@
 const LIVENESS_PATH: &str = "/health/live";
 
 impl Upstream {
-    /// Checks an endpoint's health; `started` is when the check was decided on.
+    /// Checks an endpoint's health. `started` is when the check was decided on, on the node's
+    /// clock.
     pub async fn check_health(
         self: Rc<Self>,
         endpoint: EndpointId,
@@ -34,6 +35,7 @@
         }
     }
 
+    /// Sends the request of a health check and reads the response.
     async fn exchange_health_check(&self, endpoint: EndpointId) -> ExchangeResult {
         let mut connection = match self.pool.checkout(endpoint).await {
             Ok(connection) => connection,
@@ -60,7 +62,8 @@
         received.result
     }
 
-    /// The report in the body is the fuller one.
+    /// Returns the load report of a health check. The one in the body is fuller than the one in the
+    /// headers.
     fn report_of_health_check(&self, result: &ExchangeResult) -> Option<LoadReport> {
         let in_body = result
             .body
--- a/crates/node/src/upstream/load_report.rs
+++ b/crates/node/src/upstream/load_report.rs
@@ -15,17 +15,17 @@
 }
 
 impl LoadReportParser {
-    /// A parser that takes in these columns and leaves out all others.
+    /// Returns a parser that takes in these columns and leaves out all others.
     pub fn new(source: LoadReportSource, columns: Vec<Column>) -> Self {
         LoadReportParser { source, columns }
     }
 
-    /// Whether endpoints report their load at all.
+    /// Returns whether endpoints report their load at all.
     pub fn is_enabled(&self) -> bool {
         self.source != LoadReportSource::None
     }
 
-    /// The report in a response's headers. A malformed one is logged and dropped.
+    /// Returns the report in a response's headers. A malformed one is logged and dropped.
     pub fn parse_headers(&self, headers: &HeaderMap) -> Option<LoadReport> {
         let value = headers.get(LOAD_REPORT).filter(|_| self.is_enabled())?;
         let report = value.to_str().ok().and_then(|text| self.parse(text));
@@ -35,7 +35,7 @@
         report
     }
 
-    /// The report that is the body of a health check's response.
+    /// Returns the report that is the body of a health check's response.
     pub fn parse_body(&self, body: &[u8]) -> Option<LoadReport> {
         if !self.is_enabled() {
             return None;
@@ -43,7 +43,7 @@
         self.parse(std::str::from_utf8(body).ok()?)
     }
 
-    /// Parses `inflight=7,queue=2`; `None` unless all of it is well formed.
+    /// Parses `inflight=7,queue=2`; returns `None` unless all of it is well formed.
     fn parse(&self, text: &str) -> Option<LoadReport> {
         let mut report = LoadReport::default();
         for field in text.trim().split(',') {
@@ -58,6 +58,7 @@
     }
 }
 
+/// Parses a number that is finite and not negative.
 fn parse_value(text: &str) -> Option<f32> {
     let value: f32 = text.trim().parse().ok()?;
     (value.is_finite() && value >= 0.0).then_some(value)
--- a/crates/node/src/upstream/mod.rs
+++ b/crates/node/src/upstream/mod.rs
@@ -37,7 +37,7 @@
 }
 
 impl Upstream {
-    /// An upstream side that knows no endpoint yet.
+    /// Returns an upstream side that knows no endpoint yet, and starts the tasks of its pool.
     pub fn start(clock: Clock, options: UpstreamOptions, budget: Budget) -> Rc<Self> {
         Rc::new(Upstream {
             clock,
@@ -50,12 +50,12 @@
         })
     }
 
-    /// Applies a change of the endpoint list, or a complete list.
+    /// Applies an update of the endpoint list.
     pub fn update_endpoints(&self, kind: ListKind, listed: &[ListedEndpoint]) {
         self.pool.update(kind, listed);
     }
 
-    /// What the pool holds now.
+    /// Returns what the pool holds now.
     #[cfg(test)]
     pub fn pool_usage(&self) -> pool::Usage {
         self.pool.usage()
--- a/crates/node/src/upstream/pool/checkout.rs
+++ b/crates/node/src/upstream/pool/checkout.rs
@@ -18,6 +18,7 @@
 }
 
 impl PendingCheckout<'_> {
+    /// Waits until a connection is delivered, or none will be.
     async fn wait(mut self) -> CheckoutResult {
         let delivered = (&mut self.delivery).await;
         delivered.unwrap_or(Err(CheckoutError::EndpointUnavailable))
@@ -34,8 +35,8 @@
 }
 
 impl Pool {
-    /// Takes the most recently used idle connection, or else whichever comes first: one that is
-    /// released or a new one.
+    /// Takes the most recently used idle connection, or else whichever comes first of one that is
+    /// released and a new one.
     pub async fn checkout(self: &Rc<Self>, endpoint: EndpointId) -> CheckoutResult {
         if let Some(connection) = self.take_idle(endpoint)? {
             return Ok(connection);
@@ -46,6 +47,7 @@
         self.enqueue(endpoint)?.wait().await
     }
 
+    /// Takes the most recently used idle connection that may carry a request.
     fn take_idle(&self, endpoint: EndpointId) -> Result<Option<Connection>, CheckoutError> {
         let mut registry = self.registry.borrow_mut();
         let slot = registry.available(endpoint)?;
@@ -60,6 +62,7 @@
         Ok(slot.dials_in_flight <= slot.waiters.len())
     }
 
+    /// Starts to open a connection in the background.
     fn start_dial(self: &Rc<Self>, endpoint: EndpointId) -> Result<(), CheckoutError> {
         // The permit may cost an idle connection to any endpoint, so that the registry must not be
         // borrowed yet.
@@ -81,6 +84,7 @@
         Ok(())
     }
 
+    /// Adds the caller to those who wait for a connection.
     fn enqueue(&self, endpoint: EndpointId) -> Result<PendingCheckout<'_>, CheckoutError> {
         let mut registry = self.registry.borrow_mut();
         let slot = registry.available(endpoint)?;
--- a/crates/node/src/upstream/pool/connection.rs
+++ b/crates/node/src/upstream/pool/connection.rs
@@ -76,8 +76,8 @@
 }
 
 impl Connection {
-    /// Whether it may carry a request. Bytes that arrived behind a response would be read as the
-    /// next one.
+    /// Returns whether the connection may carry a request. Bytes that arrived behind a response
+    /// would be read as the next one.
     pub fn is_usable(&self) -> bool {
         !self.sender.is_closed() && self.socket.has_nothing_to_read()
     }
--- a/crates/node/src/upstream/pool/dial.rs
+++ b/crates/node/src/upstream/pool/dial.rs
@@ -48,6 +48,7 @@
 }
 
 impl DialError {
+    /// Tells a want of this node's own resources from the failure of a connect.
     fn from_connect(error: io::Error) -> Self {
         match Errno::from_io_error(&error) {
             Some(
@@ -81,6 +82,8 @@
         });
     }
 
+    /// Opens a connection. If this node is out of resources, the longest idle one is closed for the
+    /// next dial.
     async fn dial(&self, dial: Dial) -> CheckoutResult {
         let endpoint = dial.endpoint;
         let connected = connect(dial, self.options.connect_timeout).await;
@@ -97,6 +100,8 @@
         })
     }
 
+    /// Gives the connection to the longest waiting attempt, or fails those that are left without a
+    /// dial.
     fn dial_ended(&self, endpoint: EndpointId, epoch: Epoch, result: CheckoutResult) {
         match self.registry.borrow_mut().in_epoch_mut(endpoint, epoch) {
             Some(slot) => slot.dials_in_flight -= 1,
@@ -119,6 +124,7 @@
     }
 }
 
+/// Opens a connection within a timeout, and starts the task that drives it.
 async fn connect(dial: Dial, connect_timeout: Duration) -> Result<Connection, DialError> {
     let connected = timeout(connect_timeout, socket::connect(dial.address)).await;
     let stream = connected
--- a/crates/node/src/upstream/pool/epoch.rs
+++ b/crates/node/src/upstream/pool/epoch.rs
@@ -6,7 +6,7 @@
 pub struct Epoch(u64);
 
 impl Epoch {
-    /// The epoch after this one.
+    /// Returns the epoch after this one.
     pub fn next(self) -> Self {
         Epoch(self.0 + 1)
     }
--- a/crates/node/src/upstream/pool/idle.rs
+++ b/crates/node/src/upstream/pool/idle.rs
@@ -9,6 +9,7 @@
 }
 
 impl IdleConnection {
+    /// Returns whether the connection has been idle for too long at `now`.
     fn has_expired(&self, now: Duration, idle_timeout: Duration) -> bool {
         now.saturating_sub(self.since) >= idle_timeout
     }
@@ -27,8 +28,8 @@
         });
     }
 
-    /// Takes the most recently used connection that has cooled down and may carry a request. Those
-    /// found unusable on the way are closed.
+    /// Takes the most recently used connection that has cooled down and may carry a request. Closes
+    /// those that it finds unusable on the way.
     pub fn take_usable(&mut self, now: Duration, idle_timeout: Duration) -> Option<Connection> {
         for index in (0..self.0.len()).rev() {
             if now < self.0[index].connection.cooling_until {
@@ -50,12 +51,12 @@
         });
     }
 
-    /// Since when the connection that comes first in line to be closed has been idle.
+    /// Returns since when the connection has been idle that is first in line to be closed.
     pub fn longest_idle_since(&self) -> Option<Duration> {
         self.0.first().map(|idle| idle.since)
     }
 
-    /// Closes the connection that has been idle for longest; false if there is none.
+    /// Closes the connection that has been idle for longest; returns false if there is none.
     pub fn close_longest_idle(&mut self) -> bool {
         if self.0.is_empty() {
             return false;
@@ -64,11 +65,12 @@
         true
     }
 
-    /// Closes all of them.
+    /// Closes all idle connections.
     pub fn close_all(&mut self) {
         self.0.clear();
     }
 
+    /// Returns the number of idle connections.
     #[cfg(test)]
     pub fn len(&self) -> usize {
         self.0.len()
--- a/crates/node/src/upstream/pool/mod.rs
+++ b/crates/node/src/upstream/pool/mod.rs
@@ -68,7 +68,7 @@
 }
 
 impl Pool {
-    /// A pool that knows no endpoint yet, and its task that closes idle connections.
+    /// Returns a pool that knows no endpoint yet, and starts the task that closes idle connections.
     pub fn start(clock: Clock, options: PoolOptions) -> Rc<Self> {
         let pool = Rc::new(Pool {
             clock,
@@ -93,15 +93,15 @@
         }
     }
 
-    /// Applies a change of the endpoint list, or a complete list: where endpoints listen, and which
-    /// are ready.
+    /// Applies an update of the endpoint list: where endpoints listen, and which are ready.
     pub fn update(&self, kind: ListKind, listed: &[ListedEndpoint]) {
         self.registry.borrow_mut().apply(kind, listed);
     }
 
     /// Takes back a connection that has carried nothing since it was checked out or dialled, or
-    /// whose last exchange needs no cool-down. The longest waiting attempt gets it; if nobody
-    /// waits, it stays idle for the next.
+    /// whose last exchange needs no cool-down.
+    ///
+    /// The longest waiting attempt gets it; if nobody waits, it stays idle for the next.
     pub fn release(&self, connection: Connection) {
         let mut registry = self.registry.borrow_mut();
         let Some(slot) = registry.in_epoch_mut(connection.endpoint, connection.epoch) else {
@@ -139,6 +139,7 @@
         }
     }
 
+    /// Takes an idle connection if anybody waits for one.
     fn take_for_waiter(&self, endpoint: EndpointId) -> Option<Connection> {
         let mut registry = self.registry.borrow_mut();
         let slot = registry
@@ -147,16 +148,17 @@
         slot.idle.take_usable(self.clock.now(), self.idle_timeout)
     }
 
-    /// Where a connection leads, if a request may still be sent there: the endpoint is ready, and
-    /// still the one that was chosen. The grace of a drain is for requests that have been written
-    /// by then.
+    /// Returns where a connection leads, if a request may still be sent there: the endpoint is
+    /// ready, and still the one that was chosen.
+    ///
+    /// The grace of a drain is for requests that have been written by then.
     pub fn destination(&self, connection: &Connection) -> Option<SocketAddr> {
         let registry = self.registry.borrow();
         let slot = registry.in_epoch(connection.endpoint, connection.epoch)?;
         slot.is_ready().then_some(slot.address)
     }
 
-    /// What the pool holds now.
+    /// Returns what the pool holds now.
     #[cfg(test)]
     pub fn usage(&self) -> Usage {
         let registry = self.registry.borrow();
--- a/crates/node/src/upstream/pool/registry.rs
+++ b/crates/node/src/upstream/pool/registry.rs
@@ -29,6 +29,7 @@
 }
 
 impl EndpointSlot {
+    /// Returns the slot of an endpoint that has just been listed.
     fn new(listed: &ListedEndpoint, epoch: Epoch) -> Self {
         EndpointSlot {
             address: listed.address,
@@ -41,13 +42,15 @@
         }
     }
 
-    /// Whether new requests may be sent to it.
+    /// Returns whether new requests may be sent to the endpoint.
     pub fn is_ready(&self) -> bool {
         self.state == EndpointState::Ready
     }
 
-    /// Takes over an entry of the list. Connections to an earlier run of the endpoint, or to one
-    /// that takes no new requests, are of no more use: `epoch` begins.
+    /// Takes over an entry of the list.
+    ///
+    /// Connections to an earlier run of the endpoint, or to one that takes no new requests, are of
+    /// no more use: `epoch` begins.
     fn update(&mut self, listed: &ListedEndpoint, epoch: Epoch) {
         let replaced = self.address != listed.address || self.started != listed.entry.started;
         self.address = listed.address;
@@ -58,8 +61,10 @@
         }
     }
 
-    /// Closes what belongs to the epoch before. Waiting attempts are to be decided anew, since what
-    /// was permitted before may not be permitted any more.
+    /// Closes what belongs to the epoch before.
+    ///
+    /// Waiting attempts are to be decided anew, since what was permitted before may not be
+    /// permitted any more.
     fn begin_epoch(&mut self, epoch: Epoch) {
         self.epoch = epoch;
         self.dials_in_flight = 0;
@@ -76,8 +81,10 @@
 }
 
 impl EndpointRegistry {
-    /// Applies a change of the endpoint list, or a complete list. Endpoints that are removed are
-    /// forgotten: nothing more is sent to them, and over a day there are ever new ones.
+    /// Applies an update of the endpoint list.
+    ///
+    /// Endpoints that are removed are forgotten: nothing more is sent to them, and over a day there
+    /// are ever new ones.
     pub fn apply(&mut self, kind: ListKind, listed: &[ListedEndpoint]) {
         if matches!(kind, ListKind::Snapshot | ListKind::Cached) {
             self.remove_unlisted(listed);
@@ -89,6 +96,7 @@
             .retain(|_, slot| slot.state != EndpointState::Removed);
     }
 
+    /// Removes the endpoints that a complete list lacks.
     fn remove_unlisted(&mut self, listed: &[ListedEndpoint]) {
         let listed_ids: BTreeSet<_> = listed.iter().map(|endpoint| endpoint.entry.id).collect();
         self.slots.retain(|id, slot| {
@@ -100,6 +108,7 @@
         });
     }
 
+    /// Adds or updates one endpoint.
     fn apply_entry(&mut self, listed: &ListedEndpoint) {
         let epoch = self.last_epoch.next();
         self.last_epoch = epoch;
@@ -111,7 +120,7 @@
         }
     }
 
-    /// The endpoint, in whatever epoch it is.
+    /// Returns the endpoint, in whatever epoch it is.
     pub fn get_mut(&mut self, id: EndpointId) -> Option<&mut EndpointSlot> {
         self.slots.get_mut(&id)
     }
@@ -121,12 +130,12 @@
         self.get_mut(id).ok_or(CheckoutError::EndpointUnavailable)
     }
 
-    /// The endpoint, if it still is in that epoch.
+    /// Returns the endpoint, if it still is in that epoch.
     pub fn in_epoch(&self, id: EndpointId, epoch: Epoch) -> Option<&EndpointSlot> {
         self.slots.get(&id).filter(|slot| slot.epoch == epoch)
     }
 
-    /// As [`EndpointRegistry::in_epoch`], to be changed.
+    /// Returns the endpoint to be changed, if it still is in that epoch.
     pub fn in_epoch_mut(&mut self, id: EndpointId, epoch: Epoch) -> Option<&mut EndpointSlot> {
         self.slots.get_mut(&id).filter(|slot| slot.epoch == epoch)
     }
@@ -138,8 +147,8 @@
         }
     }
 
-    /// Closes the connection that has been idle for longest, of all endpoints; false if none is
-    /// idle.
+    /// Closes the connection that has been idle for longest, of all endpoints; returns false if
+    /// none is idle.
     pub fn close_longest_idle(&mut self) -> bool {
         let candidates = self
             .slots
@@ -151,7 +160,7 @@
         }
     }
 
-    /// All endpoints.
+    /// Returns all endpoints.
     #[cfg(test)]
     pub fn slots(&self) -> &BTreeMap<EndpointId, EndpointSlot> {
         &self.slots
--- a/crates/node/src/upstream/pool/waiters.rs
+++ b/crates/node/src/upstream/pool/waiters.rs
@@ -10,19 +10,19 @@
 pub struct WaiterQueue(VecDeque<oneshot::Sender<CheckoutResult>>);
 
 impl WaiterQueue {
-    /// Adds a waiter; what it is given arrives at the receiver.
+    /// Adds a waiter, and returns where its connection will arrive.
     pub fn enqueue(&mut self) -> oneshot::Receiver<CheckoutResult> {
         let (waiter, delivery) = oneshot::channel();
         self.0.push_back(waiter);
         delivery
     }
 
-    /// Forgets the waiters that have given up.
+    /// Removes the waiters that have given up.
     pub fn remove_cancelled(&mut self) {
         self.0.retain(|waiter| !waiter.is_closed());
     }
 
-    /// Gives a connection to the longest waiting; it comes back if nobody waits.
+    /// Gives a connection to the longest waiting; returns it if nobody waits.
     pub fn deliver(&mut self, mut connection: Connection) -> Option<Connection> {
         while let Some(waiter) = self.0.pop_front() {
             match waiter.send(Ok(connection)) {
@@ -48,12 +48,12 @@
         self.fail_down_to(0, error);
     }
 
-    /// How many wait, those that have given up since the last check included.
+    /// Returns how many wait, those included that have given up since the last removal.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether nobody waits.
+    /// Returns whether nobody waits.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/node/src/upstream/request.rs
+++ b/crates/node/src/upstream/request.rs
@@ -14,8 +14,8 @@
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
 impl Attempt {
-    /// The request as it is written at `now`, if it still may be: not past its time, not once
-    /// endpoints have forgotten its idempotency key, and not once it has its final response.
+    /// Returns the request as it is written at `now`, if it still may be: not past its time, not
+    /// once endpoints have forgotten its idempotency key, and not once it has its final response.
     pub(super) fn request(
         &self,
         now: Duration,
@@ -35,8 +35,8 @@
         Some(request)
     }
 
-    /// Whether endpoints may have forgotten an earlier attempt of a keyed request, and would run it
-    /// again.
+    /// Returns whether endpoints may have forgotten an earlier attempt of a keyed request, and
+    /// would run it again.
     fn is_key_forgotten(&self, now: Duration) -> bool {
         match (
             self.forward.idempotency_window,
@@ -47,6 +47,7 @@
         }
     }
 
+    /// Adds the headers that endpoints are sent.
     fn insert_headers(&self, headers: &mut HeaderMap, now: Duration, destination: SocketAddr) {
         let remaining_ms = (self.expires_at - now).as_millis().max(1) as u64;
         headers.insert(HOST, host(destination));
@@ -58,7 +59,7 @@
     }
 }
 
-/// A health check's request.
+/// Returns the request of a health check.
 pub fn health_check(path: &'static str, destination: SocketAddr) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::default());
     *request.method_mut() = Method::GET;
@@ -67,6 +68,7 @@
     request
 }
 
+/// Returns the value of the `Host` header.
 fn host(address: SocketAddr) -> HeaderValue {
     // An address is always a valid value.
     HeaderValue::from_str(&address.to_string()).unwrap_or(HeaderValue::from_static("endpoint"))
--- a/crates/node/src/upstream/response.rs
+++ b/crates/node/src/upstream/response.rs
@@ -29,7 +29,7 @@
 }
 
 impl ExchangeResult {
-    /// An exchange that ended without a response.
+    /// Returns the result of an exchange that ended without a response.
     pub fn without_response(outcome: Outcome) -> Self {
         ExchangeResult {
             outcome,
@@ -38,6 +38,7 @@
         }
     }
 
+    /// Returns the result of an exchange whose response was dropped unread.
     fn without_body(outcome: Outcome, report: Option<LoadReport>) -> Self {
         ExchangeResult {
             outcome,
@@ -78,8 +79,10 @@
 
 impl Upstream {
     /// Reads a response to its end, so that one that breaks off is an outcome like others and the
-    /// client never gets half of it. One without a length ends with its connection: whole if that
-    /// is closed in order, and broken off if it is reset.
+    /// client never gets half of it.
+    ///
+    /// One without a length ends with its connection: whole if that is closed in order, and broken
+    /// off if it is reset.
     pub(super) async fn read_response(
         &self,
         connection: Connection,
@@ -118,7 +121,7 @@
         }
     }
 
-    /// Room in memory for a response's body.
+    /// Leases memory for a response's body.
     fn lease_for_body(&self, body: &Incoming) -> Result<Lease, ResponseDropped> {
         let max_length = match body.size_hint().exact() {
             Some(length) => usize::try_from(length).unwrap_or(usize::MAX),
@@ -138,6 +141,7 @@
     body.size_hint().exact().is_some() || headers.contains_key(TRANSFER_ENCODING)
 }
 
+/// Returns how an exchange ended that brought a whole response.
 fn outcome_of_status(status: StatusCode, headers: &HeaderMap) -> Outcome {
     let rejected = headers
         .get(REJECTED)
@@ -159,9 +163,10 @@
         .map_or(Outcome::Error, outcome_of_error)
 }
 
-/// What a response that did not arrive completely says about its endpoint. Where the connection
-/// ended, the process may have died. Where the bytes made no sense, something responds there: that
-/// is a failure like another, and no reason to take the endpoint out of use.
+/// Returns how an exchange ended whose response did not arrive completely.
+///
+/// Where the connection ended, the process may have died. Where the bytes made no sense, something
+/// responds there: that is a failure like another, and no reason to take the endpoint out of use.
 pub fn outcome_of_error(error: &hyper::Error) -> Outcome {
     if error.is_parse() || is_invalid_data(error) {
         Outcome::Error
@@ -170,6 +175,7 @@
     }
 }
 
+/// Returns whether the I/O layer found that the bytes made no sense.
 fn is_invalid_data(error: &hyper::Error) -> bool {
     let cause = error
         .source()
