--- a/crates/node/src/discovery/backoff.rs
+++ b/crates/node/src/discovery/backoff.rs
@@ -5,8 +5,9 @@
 
 /// The first wait after a call that succeeded, unless the longest is shorter.
 const FIRST_WAIT: Duration = Duration::from_millis(100);
-/// The bounds of the longest wait.
+/// The least that the longest wait may be.
 const MIN_LONGEST_WAIT: Duration = Duration::from_millis(50);
+/// The most that the longest wait may be.
 const MAX_LONGEST_WAIT: Duration = Duration::from_secs(1);
 
 /// Returns the longest wait for this grace of a drain.
--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -15,6 +15,7 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::timeout;
 
+/// The path of the endpoint list.
 const LIST_PATH: &str = "/registry/instances";
 
 /// Calls discovery, with a connection for each call.
@@ -75,7 +76,7 @@
     }
 }
 
-/// A call that was answered.
+/// A call whose response has begun.
 struct Call {
     response: Response<Incoming>,
     connection: Connection,
@@ -94,7 +95,7 @@
 pub struct Watch {
     body: Incoming,
     framer: ListFramer,
-    /// Of what comes next, a list or a heartbeat.
+    /// The time limit of what comes next, a list or a heartbeat.
     deadline: ListDeadline,
     _connection: Connection,
 }
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -73,6 +73,7 @@
     since_ms: f64,
 }
 
+/// The state of an endpoint as discovery writes it.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Status {
@@ -95,7 +96,7 @@
     1.0
 }
 
-/// Parses entries by the names that the site's settings list.
+/// Parses entries by the names that the settings list.
 pub struct EntryParser {
     zone_names: Vec<String>,
     machine_type_names: Vec<String>,
--- a/crates/node/src/discovery/framing.rs
+++ b/crates/node/src/discovery/framing.rs
@@ -22,7 +22,7 @@
     Heartbeat,
 }
 
-/// Data that has arrived and is not yet a complete list.
+/// Splits the data that arrives into lists.
 #[derive(Default)]
 pub struct ListFramer {
     /// From the first byte of a list, or of the line that is being read.
@@ -113,6 +113,7 @@
 /// Returns whether a line that closes all brackets that it opens is a list of its own, and not a
 /// part of one.
 fn is_list(line: &[u8]) -> bool {
+    /// The key that every list has.
     const ENTRIES: &[u8] = b"\"endpoints\"";
     line.starts_with(b"{") && line.windows(ENTRIES.len()).any(|part| part == ENTRIES)
 }
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -41,7 +41,7 @@
     pub drain_grace: Duration,
     /// The names of zones, in the order of their numbers.
     pub zone_names: Vec<String>,
-    /// The names of machine kinds, in the order of their numbers.
+    /// The names of machine types, in the order of their numbers.
     pub machine_type_names: Vec<String>,
 }
 
@@ -52,7 +52,9 @@
     parser: EntryParser,
     messages: mpsc::Sender<Message>,
     readiness: Readiness,
+    /// The cached list, until it has been applied.
     cached_list: Option<String>,
+    /// Whether the list must be polled.
     poll: bool,
     /// The version of the list that the driver has.
     version: ListVersion,
@@ -61,7 +63,9 @@
 /// Where a list comes from.
 #[derive(Clone, Copy)]
 enum ListSource {
+    /// The configuration.
     Cached,
+    /// A watch.
     Watched,
 }
 
--- a/crates/node/src/discovery/readiness.rs
+++ b/crates/node/src/discovery/readiness.rs
@@ -10,7 +10,7 @@
 /// so long.
 const MAX_WAIT_WITH_CACHED_LIST: Duration = Duration::from_secs(1);
 
-/// A flag that is false at the start and never becomes so again.
+/// A flag that is false at the start, and never false again once it is set.
 #[derive(Default)]
 pub struct Readiness(Rc<Cell<bool>>);
 
--- a/crates/node/src/driver/tests/host.rs
+++ b/crates/node/src/driver/tests/host.rs
@@ -111,7 +111,7 @@
     }
 
     /// What every table of the node holds: the driver's, the balancer's and the pool's.
-    pub fn all_usage(&self) -> ((Usage, usize), TableSizes, crate::upstream::pool::Usage) {
+    pub fn all_usage(&self) -> ((Usage, usize), TableSizes, crate::upstream::pool::PoolUsage) {
         let balancer = self.driver.balancer.table_sizes();
         (self.usage(), balancer, self.driver.upstream.pool_usage())
     }
--- a/crates/node/src/socket/fault_injection.rs
+++ b/crates/node/src/socket/fault_injection.rs
@@ -5,9 +5,11 @@
 use std::io;
 
 thread_local! {
+    /// The faults that are injected on this thread.
     static FAULTS: RefCell<Option<Plan>> = const { RefCell::new(None) };
 }
 
+/// Which calls fail, and how many have.
 #[derive(Clone, Copy)]
 struct Plan {
     /// One call of so many fails.
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -17,7 +17,7 @@
 use tokio::sync::oneshot;
 use tokio::sync::oneshot::error::RecvError;
 
-/// So many connections in a row may turn out broken before the request was written to them.
+/// The most connections in a row that may turn out broken before the request was written to them.
 const MAX_BROKEN_CONNECTIONS: usize = 4;
 
 /// A connection broke before a byte of the request was written to it: the request may go out on
@@ -32,7 +32,7 @@
     pub number: u32,
     /// Where it goes.
     pub endpoint: EndpointId,
-    /// When the node stops waiting for it.
+    /// When the node stops waiting for it, on the node's clock.
     pub expires_at: Duration,
     /// What is sent.
     pub forward: Rc<ForwardedRequest>,
--- a/crates/node/src/upstream/health_check.rs
+++ b/crates/node/src/upstream/health_check.rs
@@ -9,11 +9,11 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// What a health check that takes longer would say is out of date.
+/// How long a health check may take: what a slower one would say is out of date.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
-/// Responds with a load report.
+/// The path that responds with a load report.
 const STATS_PATH: &str = "/stats";
-/// Responds if the endpoint is alive.
+/// The path that responds if the endpoint is alive.
 const LIVENESS_PATH: &str = "/health/live";
 
 impl Upstream {
--- a/crates/node/src/upstream/load_report.rs
+++ b/crates/node/src/upstream/load_report.rs
@@ -6,9 +6,10 @@
 use ottertiller_balancer::settings::Column;
 use ottertiller_balancer::{LoadReport, LoadReportSource};
 
+/// Carries the load report of a response.
 const LOAD_REPORT: HeaderName = HeaderName::from_static("x-load-report");
 
-/// Reads the load reports of a site.
+/// Parses load reports as the settings describe them.
 pub struct LoadReportParser {
     source: LoadReportSource,
     columns: Vec<Column>,
--- a/crates/node/src/upstream/mod.rs
+++ b/crates/node/src/upstream/mod.rs
@@ -57,7 +57,7 @@
 
     /// Returns what the pool holds now.
     #[cfg(test)]
-    pub fn pool_usage(&self) -> pool::Usage {
+    pub fn pool_usage(&self) -> pool::PoolUsage {
         self.pool.usage()
     }
 }
--- a/crates/node/src/upstream/pool/checkout.rs
+++ b/crates/node/src/upstream/pool/checkout.rs
@@ -3,17 +3,21 @@
 
 use crate::logging::log_peer;
 use crate::upstream::pool::Pool;
-use crate::upstream::pool::connection::{CheckoutResult, Connection, ConnectionPermit};
+use crate::upstream::pool::connection::{CheckoutResult, Connection};
 use crate::upstream::pool::dial::Dial;
 use crate::upstream::pool::error::CheckoutError;
+use crate::upstream::pool::limit::ConnectionPermit;
 use ottertiller_balancer::EndpointId;
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// A waiting attempt. A connection that was delivered but not fetched goes back to the pool: it has
-/// cost its endpoint a handshake.
+/// A checkout that waits for a connection.
+///
+/// A connection that was delivered but not fetched goes back to the pool when this is dropped: it
+/// has cost its endpoint a handshake.
 struct PendingCheckout<'a> {
     pool: &'a Pool,
+    /// Where the connection arrives.
     delivery: oneshot::Receiver<CheckoutResult>,
 }
 
--- a/crates/node/src/upstream/pool/epoch.rs
+++ b/crates/node/src/upstream/pool/epoch.rs
@@ -1,7 +1,8 @@
-//! Epochs of endpoints.
+//! Epochs of endpoints, which tell connections to one run of an endpoint from those to the next.
 
-/// One run of an endpoint at one address while it takes new requests. No epoch is used twice, also
-/// when an endpoint is removed from the list and added again.
+/// One run of an endpoint at one address while it takes new requests.
+///
+/// No epoch is used twice, also when an endpoint is removed from the list and added again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Epoch(u64);
 
--- a/crates/node/src/upstream/pool/idle.rs
+++ b/crates/node/src/upstream/pool/idle.rs
@@ -3,8 +3,10 @@
 use crate::upstream::pool::connection::Connection;
 use std::time::Duration;
 
+/// A connection that is idle.
 struct IdleConnection {
     connection: Connection,
+    /// When it became idle, on the node's clock.
     since: Duration,
 }
 
--- a/crates/node/src/upstream/pool/mod.rs
+++ b/crates/node/src/upstream/pool/mod.rs
@@ -7,6 +7,7 @@
 mod epoch;
 mod error;
 mod idle;
+mod limit;
 mod registry;
 mod waiters;
 
@@ -14,7 +15,7 @@
 
 use crate::clock::Clock;
 use crate::message::ListedEndpoint;
-use connection::ConnectionLimit;
+use limit::ConnectionLimit;
 use ottertiller_balancer::{EndpointId, ListKind};
 use registry::EndpointRegistry;
 use std::cell::RefCell;
@@ -24,14 +25,15 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
+/// How long connections cool down after a response.
+///
 /// A second copy of a response may arrive some milliseconds behind the first. On a connection that
-/// carries another request by then, it would be taken for the response to that: connections cool
-/// down for so long after a response. Copies have been seen up to 4 ms late; a longer cool-down
-/// costs handshakes.
+/// carries another request by then, it would be taken for the response to that. Copies have been
+/// seen up to 4 ms late; a longer cool-down costs handshakes.
 pub const RESPONSE_COOLDOWN: Duration = Duration::from_millis(6);
 /// The shortest time between two sweeps for connections that have been idle for too long.
 const MIN_SWEEP_INTERVAL: Duration = Duration::from_millis(5);
-/// Sweeps within one idle timeout.
+/// The number of sweeps within one idle timeout.
 const SWEEPS_PER_IDLE_TIMEOUT: u32 = 8;
 
 /// The options of the pool.
@@ -50,10 +52,14 @@
 /// What the pool holds.
 #[cfg(test)]
 #[derive(Debug, PartialEq, Eq)]
-pub struct Usage {
+pub struct PoolUsage {
+    /// The endpoints that are known.
     pub endpoints: usize,
+    /// Open connections, dials in flight included.
     pub open_connections: usize,
+    /// Attempts and health checks that wait for a connection.
     pub waiting_attempts: usize,
+    /// Dials in flight.
     pub dials_in_flight: usize,
 }
 
@@ -160,12 +166,12 @@
 
     /// Returns what the pool holds now.
     #[cfg(test)]
-    pub fn usage(&self) -> Usage {
+    pub fn usage(&self) -> PoolUsage {
         let registry = self.registry.borrow();
         let slots = registry.slots().values();
-        Usage {
+        PoolUsage {
             endpoints: registry.slots().len(),
-            open_connections: self.limit.get(),
+            open_connections: self.limit.open_count(),
             waiting_attempts: slots.clone().map(|slot| slot.waiters.len()).sum(),
             dials_in_flight: slots.map(|slot| slot.dials_in_flight).sum(),
         }
--- a/crates/node/src/upstream/pool/registry.rs
+++ b/crates/node/src/upstream/pool/registry.rs
@@ -21,10 +21,11 @@
     pub idle: IdleConnections,
     /// Attempts that wait for a connection to it.
     pub waiters: WaiterQueue,
-    /// Dials under way in this epoch: never fewer than waiters.
+    /// Dials in flight in this epoch: never fewer than waiters.
     pub dials_in_flight: usize,
-    /// Its state and its last start, as listed.
+    /// Its state, as listed.
     state: EndpointState,
+    /// When it was last started, as listed.
     started: Option<Duration>,
 }
 
@@ -73,10 +74,11 @@
     }
 }
 
-/// The endpoints by their numbers.
+/// The listed endpoints by their numbers.
 #[derive(Default)]
 pub struct EndpointRegistry {
     slots: BTreeMap<EndpointId, EndpointSlot>,
+    /// The last epoch that was given out to any endpoint.
     last_epoch: Epoch,
 }
 
--- a/crates/node/src/upstream/pool/tests.rs
+++ b/crates/node/src/upstream/pool/tests.rs
@@ -76,7 +76,7 @@
         }
         let late = pool.checkout(ENDPOINT).await.expect("a connection");
         assert_ne!(late.task.id(), freed);
-        assert_eq!(pool.limit.get(), 2, "nothing further was dialled");
+        assert_eq!(pool.limit.open_count(), 2, "nothing further was dialled");
     });
 }
 
@@ -250,7 +250,7 @@
         pool.release_after_response(cooling);
         let next = pool.checkout(ENDPOINT).await.expect("a connection");
         assert_ne!(next.task.id(), closed);
-        assert_eq!(pool.limit.get(), MAX_CONNECTIONS);
+        assert_eq!(pool.limit.open_count(), MAX_CONNECTIONS);
     });
 }
 
@@ -267,7 +267,7 @@
             pool.checkout(ENDPOINT).await.err(),
             Some(CheckoutError::EndpointUnavailable)
         );
-        let nothing = Usage {
+        let nothing = PoolUsage {
             endpoints: 0,
             open_connections: 0,
             waiting_attempts: 0,
--- a/crates/node/src/upstream/request.rs
+++ b/crates/node/src/upstream/request.rs
@@ -8,9 +8,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// The call id, which is the same in all attempts of a request.
 const CALL_ID: HeaderName = HeaderName::from_static("x-call-id");
 /// The milliseconds until the node stops waiting for the attempt.
 const BUDGET_MS: HeaderName = HeaderName::from_static("x-budget-ms");
+/// The key by which endpoints drop repeats.
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
 impl Attempt {
--- a/crates/node/src/upstream/response.rs
+++ b/crates/node/src/upstream/response.rs
@@ -16,6 +16,7 @@
 
 /// Marks a response whose request was rejected before it ran.
 const REJECTED: HeaderName = HeaderName::from_static("x-rejected");
+/// The one value of [`REJECTED`] that counts.
 const REJECTED_TRUE: &str = "1";
 
 /// How an exchange with an endpoint ended.
