--- a/crates/node/src/discovery/backoff/tests.rs
+++ b/crates/node/src/discovery/backoff/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn waits_double_up_to_the_longest_and_begin_anew_after_a_call_that_lasted() {
+fn waits_double_to_the_longest_and_reset_after_a_long_call() {
     let mut backoff = ReconnectBackoff::new(Duration::from_millis(300), 7);
     for full in [100, 200, 300, 300] {
         let wait = backoff.next_wait(SHORT);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn the_longest_wait_is_a_quarter_of_the_drain_grace_within_bounds() {
+fn the_longest_wait_is_a_bounded_quarter_of_the_drain_grace() {
     assert_eq!(longest_wait(Duration::ZERO), MIN_LONGEST_WAIT);
     assert_eq!(
         longest_wait(Duration::from_secs(2)),
--- a/crates/node/src/discovery/client/tests.rs
+++ b/crates/node/src/discovery/client/tests.rs
@@ -88,7 +88,7 @@
 
 /// By the deadline, the next call has to have brought the list.
 #[test]
-fn a_call_whose_list_hardly_arrives_is_given_up_in_time_for_the_next() {
+fn a_call_whose_list_hardly_arrives_times_out_early_enough() {
     const MAX_TIME: Duration = Duration::from_millis(4200);
     for steps_before_head in [0, 20, 38] {
         let mut pieces = vec![Vec::new(); steps_before_head];
--- a/crates/node/src/discovery/endpoint_list/tests.rs
+++ b/crates/node/src/discovery/endpoint_list/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn an_entry_of_an_unknown_zone_is_an_error_and_one_of_an_unknown_kind_is_not() {
+fn an_unknown_zone_is_an_error_and_an_unknown_type_is_not() {
     let parser = EntryParser::new(
         vec!["a".to_owned(), "b".to_owned()],
         vec!["small".to_owned()],
--- a/crates/node/src/discovery/framing/tests.rs
+++ b/crates/node/src/discovery/framing/tests.rs
@@ -21,7 +21,7 @@
 const FLAT: &str = "{\n\"index\": 3,\n\"endpoints\": [\n{\n\"name\": \"a\"\n}\n]\n}";
 
 #[test]
-fn lists_are_split_alike_in_any_format_and_in_pieces_of_any_size() {
+fn lists_of_any_format_in_pieces_of_any_size_split_alike() {
     let text = format!("\n{ONE}\n\n{INDENTED}\n{FLAT}\n\n\n{BY_LINE}\n{ONE}");
     for size in 1..text.len() {
         assert_eq!(
--- a/crates/node/src/discovery/tests.rs
+++ b/crates/node/src/discovery/tests.rs
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn after_any_failure_the_next_list_arrives_within_6_s_of_discovery_being_reachable() {
+fn after_any_failure_the_next_list_arrives_within_6_s() {
     // Each in a thread of its own, for they wait for the kernel.
     std::thread::scope(|threads| {
         for (mode, poll_interval) in [
--- a/crates/node/src/upstream/attempt/tests.rs
+++ b/crates/node/src/upstream/attempt/tests.rs
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn an_attempt_no_longer_permitted_once_it_has_a_connection_is_never_sent() {
+fn an_attempt_that_is_no_longer_permitted_is_never_sent() {
     let nothing = || (Outcome::NotSent, String::new());
     let late = outcome_after(|_, attempt, _, now| attempt.expires_at = now);
     assert_eq!(late, nothing(), "its time is over");
@@ -125,7 +125,7 @@
 /// The connection has failed once the request was on its way: nothing says that the request never
 /// ran.
 #[test]
-fn an_attempt_whose_connection_fails_after_it_was_written_may_have_run() {
+fn an_attempt_whose_connection_fails_after_the_write_is_reset() {
     for errno in [
         Errno::TIMEDOUT,
         Errno::HOSTUNREACH,
--- a/crates/node/src/upstream/pool/tests.rs
+++ b/crates/node/src/upstream/pool/tests.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn an_attempt_waiting_for_a_dial_takes_a_released_connection_and_the_late_dial_is_kept() {
+fn a_waiter_takes_a_released_connection_and_its_dial_is_kept() {
     with_pool(async |pool, _listener, _| {
         let first = pool.checkout(ENDPOINT).await.expect("a connection");
         let freed = first.task.id();
@@ -83,7 +83,7 @@
 /// Neither the runtime nor hyper have had a turn since the bytes came: only the kernel knows of
 /// them.
 #[test]
-fn a_connection_is_not_reused_once_bytes_arrived_behind_its_response() {
+fn a_connection_with_unread_bytes_is_not_reused() {
     use std::io::Write;
     with_pool(async |pool, listener, _| {
         let first = pool.checkout(ENDPOINT).await.expect("a connection");
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_waiting_attempt_gets_a_cooled_down_connection_if_no_dial_succeeds() {
+fn a_waiter_gets_a_cooled_connection_if_no_dial_succeeds() {
     with_cooldown(Duration::from_millis(1), async |pool, listener, _| {
         let first = pool.checkout(ENDPOINT).await.expect("a connection");
         let used = first.task.id();
@@ -151,7 +151,7 @@
 /// What was decided for an endpoint that was ready and warm is not written to one that drains, or
 /// has just been started again, at its old address or elsewhere.
 #[test]
-fn an_attempt_waiting_for_a_dial_fails_at_once_when_its_endpoint_drains_or_restarts() {
+fn a_waiter_fails_at_once_if_its_endpoint_drains_or_restarts() {
     let drains = |endpoint: &mut ListedEndpoint| endpoint.entry.state = EndpointState::Draining;
     let restarts =
         |endpoint: &mut ListedEndpoint| endpoint.entry.started = Some(Duration::from_secs(1));
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn a_connection_delivered_to_a_cancelled_attempt_goes_back_to_the_pool() {
+fn a_connection_delivered_to_a_cancelled_waiter_is_released() {
     with_pool(async |pool, _listener, _| {
         let first = pool.checkout(ENDPOINT).await.expect("a connection");
         let freed = first.task.id();
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn at_the_limit_an_idle_connection_makes_room_and_one_in_use_does_not() {
+fn at_the_limit_only_an_idle_connection_makes_room() {
     with_pool(async |pool, _listener, _| {
         let mut in_use = Vec::new();
         for _ in 0..MAX_CONNECTIONS {
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn an_endpoint_missing_from_a_complete_list_is_forgotten_with_its_connections() {
+fn an_endpoint_missing_from_a_snapshot_is_removed_entirely() {
     with_pool(async |pool, _listener, _| {
         let idle_connection = pool.checkout(ENDPOINT).await.expect("a connection");
         let in_use = pool.checkout(ENDPOINT).await.expect("a connection");
