--- a/crates/node/src/upstream/attempt/tests.rs
+++ b/crates/node/src/upstream/attempt/tests.rs
@@ -5,7 +5,7 @@
 use crate::socket::fault_injection::InjectedFaults;
 use crate::upstream::load_report::LoadReportParser;
 use crate::upstream::pool::Pool;
-use crate::upstream::pool::tests::{ENDPOINT, with_pool};
+use crate::upstream::pool::tests::harness::{ENDPOINT, with_pool};
 use hyper::Method;
 use hyper::header::HeaderValue;
 use ottertiller_balancer::{EndpointState, ListKind, LoadReportSource};
--- a/crates/node/src/upstream/pool/tests.rs
+++ b/crates/node/src/upstream/pool/tests.rs
@@ -1,53 +1,13 @@
-use super::error::CheckoutError;
-use super::*;
-use ottertiller_balancer::{EndpointEntry, EndpointState};
-use socket2::SockRef;
-use tokio::net::{TcpListener, TcpSocket, TcpStream};
-use tokio::task::LocalSet;
-use tokio::time::timeout;
-
-pub const ENDPOINT: EndpointId = EndpointId(1);
-
-/// Runs a test with a pool that knows one endpoint, which listens.
-pub fn with_pool<T>(test: impl AsyncFnOnce(Rc<Pool>, TcpListener, ListedEndpoint) -> T) -> T {
-    with_cooldown(RESPONSE_COOLDOWN, test)
-}
-
-fn with_cooldown<T>(
-    response_cooldown: Duration,
-    test: impl AsyncFnOnce(Rc<Pool>, TcpListener, ListedEndpoint) -> T,
-) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .expect("a runtime");
-    LocalSet::new().block_on(&runtime, async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let pool = Pool::start(Clock::start(), options(response_cooldown));
-        let entry = EndpointEntry {
-            id: ENDPOINT,
-            state: EndpointState::Ready,
-            ..EndpointEntry::default()
-        };
-        let endpoint = ListedEndpoint {
-            entry,
-            address: listener.local_addr().expect("its address"),
-        };
-        pool.update(ListKind::Snapshot, std::slice::from_ref(&endpoint));
-        test(pool, listener, endpoint).await
-    })
-}
+pub mod harness;
 
-const MAX_CONNECTIONS: usize = 16;
-
-fn options(response_cooldown: Duration) -> PoolOptions {
-    PoolOptions {
-        max_connections: MAX_CONNECTIONS,
-        connect_timeout: Duration::from_millis(250),
-        endpoint_idle_timeout: Duration::from_secs(15),
-        response_cooldown,
-    }
-}
+use super::error::CheckoutError;
+use super::{Pool, PoolUsage};
+use crate::message::ListedEndpoint;
+use harness::{ENDPOINT, MAX_CONNECTIONS, fill_backlog, with_cooldown, with_pool};
+use ottertiller_balancer::{EndpointId, EndpointState, ListKind};
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::net::TcpSocket;
 
 /// How many connections to the endpoint are idle in the pool.
 fn idle(pool: &Pool) -> usize {
@@ -116,19 +76,6 @@
     }
 }
 
-/// Fills the listener's backlog: no dial succeeds any more.
-async fn fill_backlog(listener: &TcpListener) -> Vec<TcpStream> {
-    SockRef::from(listener).listen(0).expect("a shorter queue");
-    let address = listener.local_addr().expect("its address");
-    let mut clients = Vec::new();
-    while let Ok(Ok(client)) =
-        timeout(Duration::from_millis(500), TcpStream::connect(address)).await
-    {
-        clients.push(client);
-    }
-    clients
-}
-
 #[test]
 fn a_waiter_gets_a_cooled_connection_if_no_dial_succeeds() {
     with_cooldown(Duration::from_millis(1), async |pool, listener, _| {
