--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -1,6 +1,6 @@
 //! HTTP calls to discovery: watching the endpoint list.
 
-use crate::discovery::error::ClientError;
+use crate::discovery::error::DiscoveryError;
 use crate::discovery::framing::{ListFramer, WatchLine};
 use crate::discovery::list_deadline::ListDeadline;
 use crate::socket::{self, Socket};
@@ -19,15 +19,15 @@
 const LIST_PATH: &str = "/registry/instances";
 
 /// Calls discovery, with a connection for each call.
-pub struct Client {
+pub struct DiscoveryClient {
     address: SocketAddr,
     connect_timeout: Duration,
 }
 
-impl Client {
+impl DiscoveryClient {
     /// Returns a client of the discovery service that listens at `address`.
     pub fn new(address: SocketAddr, connect_timeout: Duration) -> Self {
-        Client {
+        DiscoveryClient {
             address,
             connect_timeout,
         }
@@ -39,7 +39,7 @@
     }
 
     /// Opens a watch that begins with the changes after `version`, the one that the node has.
-    pub async fn watch(&self, version: u64) -> Result<Watch, ClientError> {
+    pub async fn watch(&self, version: u64) -> Result<Watch, DiscoveryError> {
         let deadline = ListDeadline::start();
         let path = format!("{LIST_PATH}?stream=1&index={version}");
         let call = deadline.limit_call(self.exchange(&path)).await?;
@@ -52,11 +52,11 @@
     }
 
     /// Connects, sends a request and waits until its response begins.
-    async fn exchange(&self, path: &str) -> Result<Call, ClientError> {
+    async fn exchange(&self, path: &str) -> Result<Call, DiscoveryError> {
         let connected = timeout(self.connect_timeout, socket::connect(self.address)).await;
         let stream = connected
-            .map_err(|_| ClientError::ConnectTimedOut)?
-            .map_err(ClientError::Connect)?;
+            .map_err(|_| DiscoveryError::ConnectTimedOut)?
+            .map_err(DiscoveryError::Connect)?;
         let (socket, _) = Socket::new(stream);
         let (mut sender, driver) = http1::handshake(socket).await?;
         let connection = Connection(spawn_local(async move {
@@ -71,7 +71,7 @@
                 response,
                 connection,
             }),
-            status => Err(ClientError::UnexpectedStatus(status)),
+            status => Err(DiscoveryError::UnexpectedStatus(status)),
         }
     }
 }
@@ -102,7 +102,7 @@
 
 impl Watch {
     /// Returns the text of the next list or delta, once it has arrived whole.
-    pub async fn next_list(&mut self) -> Result<Bytes, ClientError> {
+    pub async fn next_list(&mut self) -> Result<Bytes, DiscoveryError> {
         loop {
             match self.framer.next_line()? {
                 Some(WatchLine::List(list)) => {
@@ -115,7 +115,7 @@
                         .deadline
                         .next_part(&mut self.body)
                         .await?
-                        .ok_or(ClientError::StreamEnded)?;
+                        .ok_or(DiscoveryError::StreamEnded)?;
                     self.framer.push(&part);
                 }
             }
--- a/crates/node/src/discovery/client/tests.rs
+++ b/crates/node/src/discovery/client/tests.rs
@@ -45,14 +45,14 @@
 }
 
 /// How a call and its list end that is answered with these pieces, and how long that takes.
-fn call(pieces: Vec<Vec<u8>>) -> (Result<Bytes, ClientError>, Duration) {
+fn call(pieces: Vec<Vec<u8>>) -> (Result<Bytes, DiscoveryError>, Duration) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
         .build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let client = Client::new(
+        let client = DiscoveryClient::new(
             listener.local_addr().expect("its address"),
             Duration::from_secs(1),
         );
@@ -95,7 +95,10 @@
         pieces.push(head(1 << 20));
         pieces.extend((0..1000).map(|_| b"{".to_vec()));
         let (result, elapsed) = call(pieces);
-        assert!(matches!(result, Err(ClientError::TimedOut)), "{result:?}");
+        assert!(
+            matches!(result, Err(DiscoveryError::TimedOut)),
+            "{result:?}"
+        );
         assert!(
             elapsed <= MAX_TIME,
             "{elapsed:?}, head after {steps_before_head} steps"
@@ -105,7 +108,10 @@
     let mut pieces = vec![head(1 << 20), b"{\n".to_vec()];
     pieces.extend((0..1000).map(|n| format!("  \"key{n}\": 0,\n").into_bytes()));
     let (result, elapsed) = call(pieces);
-    assert!(matches!(result, Err(ClientError::TimedOut)), "{result:?}");
+    assert!(
+        matches!(result, Err(DiscoveryError::TimedOut)),
+        "{result:?}"
+    );
     assert!(elapsed <= MAX_TIME, "{elapsed:?}");
 }
 
--- a/crates/node/src/discovery/list_deadline.rs
+++ b/crates/node/src/discovery/list_deadline.rs
@@ -5,7 +5,7 @@
 //! came whole before it on the watch, and bytes that trickle in do not extend it. A list that
 //! arrives fast enough to become whole may use more of the 6 s.
 
-use crate::discovery::error::ClientError;
+use crate::discovery::error::DiscoveryError;
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -40,19 +40,22 @@
         }
     }
 
-    /// Runs a call until its response begins, or fails with [`ClientError::TimedOut`].
+    /// Runs a call until its response begins, or fails with [`DiscoveryError::TimedOut`].
     pub async fn limit_call<T>(
         &self,
-        call: impl Future<Output = Result<T, ClientError>>,
-    ) -> Result<T, ClientError> {
+        call: impl Future<Output = Result<T, DiscoveryError>>,
+    ) -> Result<T, DiscoveryError> {
         timeout_at(self.started + LIST_TIMEOUT, call)
             .await
-            .map_err(|_| ClientError::TimedOut)?
+            .map_err(|_| DiscoveryError::TimedOut)?
     }
 
-    /// Returns the next part of a body; `None` at its end. Fails with [`ClientError::TimedOut`] if
-    /// the list is late.
-    pub async fn next_part(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, ClientError> {
+    /// Returns the next part of a body; `None` at its end. Fails with [`DiscoveryError::TimedOut`]
+    /// if the list is late.
+    pub async fn next_part(
+        &mut self,
+        body: &mut Incoming,
+    ) -> Result<Option<Bytes>, DiscoveryError> {
         let mut check_at = self.started + LIST_TIMEOUT;
         loop {
             match timeout_at(check_at, body.frame()).await {
@@ -64,7 +67,7 @@
                     }
                 }
                 Err(_) if self.is_on_pace() => check_at = Instant::now() + PACE_CHECK_INTERVAL,
-                Err(_) => return Err(ClientError::TimedOut),
+                Err(_) => return Err(DiscoveryError::TimedOut),
             }
         }
     }
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -14,7 +14,7 @@
 use crate::logging::{error_chain, log};
 use crate::message::{DiscoveryCommand, EndpointListUpdate, ListedEndpoint, Message};
 use backoff::{ReconnectBackoff, longest_wait};
-use client::Client;
+use client::DiscoveryClient;
 use endpoint_list::{EndpointList, EntryParser};
 use list_version::ListVersion;
 use ottertiller_balancer::ListKind;
@@ -47,7 +47,7 @@
 
 /// Keeps the endpoint list up to date, and sends each change to the driver.
 pub struct Discovery {
-    client: Client,
+    client: DiscoveryClient,
     backoff: ReconnectBackoff,
     parser: EntryParser,
     messages: mpsc::Sender<Message>,
@@ -85,7 +85,7 @@
     pub fn new(options: DiscoveryOptions, messages: mpsc::Sender<Message>) -> Self {
         let longest_wait = longest_wait(options.drain_grace);
         Discovery {
-            client: Client::new(options.address, 2 * longest_wait),
+            client: DiscoveryClient::new(options.address, 2 * longest_wait),
             // Not the balancer's own random numbers.
             backoff: ReconnectBackoff::new(longest_wait, !options.seed),
             parser: EntryParser::new(options.zone_names, options.machine_type_names),
--- a/crates/node/src/discovery/poll.rs
+++ b/crates/node/src/discovery/poll.rs
@@ -1,7 +1,7 @@
 //! Where the list must be polled: the balancer commands when, and every call that fails is reported
 //! to it.
 
-use crate::discovery::error::ClientError;
+use crate::discovery::error::DiscoveryError;
 use crate::discovery::watch::log_watch_failure;
 use crate::discovery::{Discovery, next_address};
 use crate::message::DiscoveryCommand;
@@ -37,7 +37,7 @@
     /// Discovery listens at another address from now on.
     DiscoveryMoved(SocketAddr),
     /// The watch has failed.
-    WatchFailed(ClientError),
+    WatchFailed(DiscoveryError),
 }
 
 impl Discovery {
--- a/crates/node/src/discovery/watch.rs
+++ b/crates/node/src/discovery/watch.rs
@@ -1,6 +1,6 @@
 //! Where changes of the list are pushed: a watch for good.
 
-use crate::discovery::error::ClientError;
+use crate::discovery::error::DiscoveryError;
 use crate::discovery::{Discovery, ListSource, next_address, parse_list};
 use crate::logging::{error_chain, log};
 use std::convert::Infallible;
@@ -39,13 +39,13 @@
     }
 
     /// Watches the list until that fails, and returns why.
-    pub(super) async fn watch(&mut self) -> ClientError {
+    pub(super) async fn watch(&mut self) -> DiscoveryError {
         let Err(error) = self.apply_watched_lists().await;
         error
     }
 
     /// Applies each list that a watch brings.
-    async fn apply_watched_lists(&mut self) -> Result<Infallible, ClientError> {
+    async fn apply_watched_lists(&mut self) -> Result<Infallible, DiscoveryError> {
         let mut watch = self.client.watch(self.version.number()).await?;
         loop {
             let text = watch.next_list().await?;
@@ -57,7 +57,7 @@
 }
 
 /// Logs why a watch has failed.
-pub(super) fn log_watch_failure(error: &ClientError) {
+pub(super) fn log_watch_failure(error: &DiscoveryError) {
     let cause = error_chain(error);
     log(format_args!("endpoint list watch failed: {cause}"));
 }
--- a/crates/node/src/upstream/pool/mod.rs
+++ b/crates/node/src/upstream/pool/mod.rs
@@ -39,13 +39,13 @@
 /// The options of the pool.
 #[derive(Clone, Debug)]
 pub struct PoolOptions {
-    /// The most connections that may be open at once, dials under way included.
+    /// The most connections that may be open at once, dials in flight included.
     pub max_connections: usize,
     /// How long a dial may take.
     pub connect_timeout: Duration,
     /// Endpoints close connections that have been idle for so long.
     pub endpoint_idle_timeout: Duration,
-    /// How long a connection stays unused after a response; [`RESPONSE_COOLDOWN`] but for tests.
+    /// How long a connection stays unused after a response; [`RESPONSE_COOLDOWN`] except in tests.
     pub response_cooldown: Duration,
 }
 
