--- a/crates/node/src/socket/fault_injection.rs
+++ b/crates/node/src/socket/fault_injection.rs
@@ -9,15 +9,22 @@
     static FAULTS: RefCell<Option<Plan>> = const { RefCell::new(None) };
 }
 
+/// A fault of system calls.
+#[derive(Clone, Copy)]
+enum Fault {
+    /// One call in `fail_every` fails.
+    Error { errno: Errno, fail_every: u32 },
+    /// Reads hand out half of what they could at the most.
+    ShortReads,
+}
+
 /// Which calls fail, and how many have.
 #[derive(Clone, Copy)]
 struct Plan {
-    /// One call of so many fails.
-    fail_every: u32,
-    errno: Errno,
-    /// Whether reads hand out half of what they could at the most.
-    short_reads: bool,
+    fault: Fault,
+    /// The calls so far that may fail.
     calls: u32,
+    /// The faults so far.
     injected: usize,
 }
 
@@ -27,28 +34,20 @@
 impl InjectedFaults {
     /// Makes one call in `fail_every` fail with `errno`.
     pub fn errors(errno: Errno, fail_every: u32) -> Self {
-        Self::start(Plan {
-            fail_every,
-            errno,
-            short_reads: false,
-            calls: 0,
-            injected: 0,
-        })
+        Self::start(Fault::Error { errno, fail_every })
     }
 
     /// Makes reads short. None of them fails.
     pub fn short_reads() -> Self {
-        Self::start(Plan {
-            fail_every: 0,
-            errno: Errno::INTR,
-            short_reads: true,
-            calls: 0,
-            injected: 0,
-        })
+        Self::start(Fault::ShortReads)
     }
 
-    fn start(plan: Plan) -> Self {
-        FAULTS.set(Some(plan));
+    fn start(fault: Fault) -> Self {
+        FAULTS.set(Some(Plan {
+            fault,
+            calls: 0,
+            injected: 0,
+        }));
         InjectedFaults(())
     }
 
@@ -66,24 +65,14 @@
 
 /// Returns the error of the call that is to be made now, if it is to fail.
 pub fn inject() -> Option<io::Error> {
-    FAULTS.with_borrow_mut(|plan| {
-        let plan = plan.as_mut().filter(|plan| plan.fail_every > 0)?;
-        plan.calls += 1;
-        if plan.calls % plan.fail_every != 0 {
-            return None;
-        }
-        plan.injected += 1;
-        Some(plan.errno.into())
-    })
+    FAULTS.with_borrow_mut(|plan| plan.as_mut()?.next_error())
 }
 
 /// Returns the part of a buffer that a read may fill.
 pub fn shorten(buffer: &mut [u8]) -> &mut [u8] {
     let is_short = FAULTS.with_borrow_mut(|plan| {
-        let plan = plan
-            .as_mut()
-            .filter(|plan| plan.short_reads && buffer.len() > 1);
-        plan.map(|plan| plan.injected += 1).is_some()
+        plan.as_mut()
+            .is_some_and(|plan| plan.shortens(buffer.len()))
     });
     let length = if is_short {
         buffer.len().min(64) / 2
@@ -92,3 +81,25 @@
     };
     &mut buffer[..length]
 }
+
+impl Plan {
+    /// Counts a call, and returns its error if it is to fail.
+    fn next_error(&mut self) -> Option<io::Error> {
+        let Fault::Error { errno, fail_every } = self.fault else {
+            return None;
+        };
+        self.calls += 1;
+        if self.calls % fail_every != 0 {
+            return None;
+        }
+        self.injected += 1;
+        Some(errno.into())
+    }
+
+    /// Returns whether a read into a buffer of this length is short, and counts it if so.
+    fn shortens(&mut self, length: usize) -> bool {
+        let is_short = matches!(self.fault, Fault::ShortReads) && length > 1;
+        self.injected += usize::from(is_short);
+        is_short
+    }
+}
