--- a/crates/node/src/upstream/pool/checkout.rs
+++ b/crates/node/src/upstream/pool/checkout.rs
@@ -53,22 +53,22 @@
 
     /// Takes the most recently used idle connection that may carry a request.
     fn take_idle(&self, endpoint: EndpointId) -> Result<Option<Connection>, CheckoutError> {
-        let mut registry = self.registry.borrow_mut();
-        let slot = registry.available(endpoint)?;
+        let mut endpoints = self.endpoints.borrow_mut();
+        let slot = endpoints.available(endpoint)?;
         Ok(slot.idle.take_usable(self.clock.now(), self.idle_timeout))
     }
 
     /// Returns whether a further waiter would have no dial to wait for.
     fn needs_dial(&self, endpoint: EndpointId) -> Result<bool, CheckoutError> {
-        let mut registry = self.registry.borrow_mut();
-        let slot = registry.available(endpoint)?;
+        let mut endpoints = self.endpoints.borrow_mut();
+        let slot = endpoints.available(endpoint)?;
         slot.waiters.remove_cancelled();
         Ok(slot.dials_in_flight <= slot.waiters.len())
     }
 
     /// Starts to open a connection in the background.
     fn start_dial(self: &Rc<Self>, endpoint: EndpointId) -> Result<(), CheckoutError> {
-        // The permit may cost an idle connection to any endpoint, so that the registry must not be
+        // The permit may cost an idle connection to any endpoint, so that the table must not be
         // borrowed yet.
         let permit = self.acquire_permit().inspect_err(|error| {
             let endpoint = endpoint.0;
@@ -76,8 +76,8 @@
                 "attempt not sent: endpoint {endpoint:x}: {error}"
             ));
         })?;
-        let mut registry = self.registry.borrow_mut();
-        let slot = registry.available(endpoint)?;
+        let mut endpoints = self.endpoints.borrow_mut();
+        let slot = endpoints.available(endpoint)?;
         slot.dials_in_flight += 1;
         self.spawn_dial(Dial {
             endpoint,
@@ -90,8 +90,8 @@
 
     /// Adds the caller to those who wait for a connection.
     fn enqueue(&self, endpoint: EndpointId) -> Result<PendingCheckout<'_>, CheckoutError> {
-        let mut registry = self.registry.borrow_mut();
-        let slot = registry.available(endpoint)?;
+        let mut endpoints = self.endpoints.borrow_mut();
+        let slot = endpoints.available(endpoint)?;
         Ok(PendingCheckout {
             pool: self,
             delivery: slot.waiters.enqueue(),
@@ -104,7 +104,7 @@
         if let Some(permit) = self.limit.try_acquire() {
             return Ok(permit);
         }
-        self.registry.borrow_mut().close_longest_idle();
+        self.endpoints.borrow_mut().close_longest_idle();
         self.limit
             .try_acquire()
             .ok_or(CheckoutError::ConnectionLimit)
--- a/crates/node/src/upstream/pool/dial.rs
+++ b/crates/node/src/upstream/pool/dial.rs
@@ -95,7 +95,7 @@
                     "cannot dial: endpoint {:x}: {cause}",
                     endpoint.0
                 ));
-                self.registry.borrow_mut().close_longest_idle();
+                self.endpoints.borrow_mut().close_longest_idle();
             }
             error.into()
         })
@@ -104,7 +104,7 @@
     /// Gives the connection to the longest waiting attempt, or fails those that are left without a
     /// dial.
     fn dial_ended(&self, endpoint: EndpointId, epoch: Epoch, result: CheckoutResult) {
-        match self.registry.borrow_mut().in_epoch_mut(endpoint, epoch) {
+        match self.endpoints.borrow_mut().in_epoch_mut(endpoint, epoch) {
             Some(slot) => slot.dials_in_flight -= 1,
             // The endpoint has moved, restarted, drained or been removed since: its waiters have
             // failed by that.
@@ -117,7 +117,7 @@
             }
             Err(error) => error,
         };
-        if let Some(slot) = self.registry.borrow_mut().get_mut(endpoint) {
+        if let Some(slot) = self.endpoints.borrow_mut().get_mut(endpoint) {
             // More wait than there are dials: the longest waiting learns that its dial has failed.
             slot.waiters.remove_cancelled();
             slot.waiters.fail_down_to(slot.dials_in_flight, failure);
--- a/crates/node/src/upstream/pool/registry.rs
+++ b/crates/node/src/upstream/pool/endpoint_table.rs
@@ -76,13 +76,13 @@
 
 /// The listed endpoints by their numbers.
 #[derive(Default)]
-pub struct EndpointRegistry {
+pub struct EndpointTable {
     slots: BTreeMap<EndpointId, EndpointSlot>,
     /// The last epoch that was given out to any endpoint.
     last_epoch: Epoch,
 }
 
-impl EndpointRegistry {
+impl EndpointTable {
     /// Applies an update of the endpoint list.
     ///
     /// Endpoints that are removed are forgotten: nothing more is sent to them, and over a day there
--- a/crates/node/src/upstream/pool/mod.rs
+++ b/crates/node/src/upstream/pool/mod.rs
@@ -4,20 +4,20 @@
 mod checkout;
 mod connection;
 mod dial;
+mod endpoint_table;
 mod epoch;
 mod error;
 mod idle;
 mod limit;
-mod registry;
 mod waiters;
 
 pub use connection::Connection;
 
 use crate::clock::Clock;
 use crate::message::ListedEndpoint;
+use endpoint_table::EndpointTable;
 use limit::ConnectionLimit;
 use ottertiller_balancer::{EndpointId, ListKind};
-use registry::EndpointRegistry;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -70,7 +70,7 @@
     /// How long a connection may be idle.
     idle_timeout: Duration,
     limit: ConnectionLimit,
-    registry: RefCell<EndpointRegistry>,
+    endpoints: RefCell<EndpointTable>,
 }
 
 impl Pool {
@@ -81,7 +81,7 @@
             // A request written just when the endpoint closes the connection would end as a reset.
             idle_timeout: options.endpoint_idle_timeout * 3 / 4,
             limit: ConnectionLimit::new(options.max_connections),
-            registry: RefCell::default(),
+            endpoints: RefCell::default(),
             options,
         });
         spawn_local(pool.clone().sweep_idle());
@@ -93,7 +93,7 @@
         let interval = (self.idle_timeout / SWEEPS_PER_IDLE_TIMEOUT).max(MIN_SWEEP_INTERVAL);
         loop {
             sleep(interval).await;
-            self.registry
+            self.endpoints
                 .borrow_mut()
                 .evict_expired(self.clock.now(), self.idle_timeout);
         }
@@ -101,7 +101,7 @@
 
     /// Applies an update of the endpoint list: where endpoints listen, and which are ready.
     pub fn update(&self, kind: ListKind, listed: &[ListedEndpoint]) {
-        self.registry.borrow_mut().apply(kind, listed);
+        self.endpoints.borrow_mut().apply(kind, listed);
     }
 
     /// Takes back a connection that has carried nothing since it was checked out or dialled, or
@@ -109,8 +109,8 @@
     ///
     /// The longest waiting attempt gets it; if nobody waits, it stays idle for the next.
     pub fn release(&self, connection: Connection) {
-        let mut registry = self.registry.borrow_mut();
-        let Some(slot) = registry.in_epoch_mut(connection.endpoint, connection.epoch) else {
+        let mut endpoints = self.endpoints.borrow_mut();
+        let Some(slot) = endpoints.in_epoch_mut(connection.endpoint, connection.epoch) else {
             return;
         };
         if !connection.is_usable() {
@@ -127,8 +127,8 @@
         let now = self.clock.now();
         let endpoint = connection.endpoint;
         connection.cooling_until = now + self.options.response_cooldown;
-        let mut registry = self.registry.borrow_mut();
-        let Some(slot) = registry.in_epoch_mut(endpoint, connection.epoch) else {
+        let mut endpoints = self.endpoints.borrow_mut();
+        let Some(slot) = endpoints.in_epoch_mut(endpoint, connection.epoch) else {
             return;
         };
         slot.idle.push(connection, now);
@@ -147,8 +147,8 @@
 
     /// Takes an idle connection if anybody waits for one.
     fn take_for_waiter(&self, endpoint: EndpointId) -> Option<Connection> {
-        let mut registry = self.registry.borrow_mut();
-        let slot = registry
+        let mut endpoints = self.endpoints.borrow_mut();
+        let slot = endpoints
             .get_mut(endpoint)
             .filter(|slot| !slot.waiters.is_empty())?;
         slot.idle.take_usable(self.clock.now(), self.idle_timeout)
@@ -159,18 +159,18 @@
     ///
     /// The grace of a drain is for requests that have been written by then.
     pub fn destination(&self, connection: &Connection) -> Option<SocketAddr> {
-        let registry = self.registry.borrow();
-        let slot = registry.in_epoch(connection.endpoint, connection.epoch)?;
+        let endpoints = self.endpoints.borrow();
+        let slot = endpoints.in_epoch(connection.endpoint, connection.epoch)?;
         slot.is_ready().then_some(slot.address)
     }
 
     /// Returns what the pool holds now.
     #[cfg(test)]
     pub fn usage(&self) -> PoolUsage {
-        let registry = self.registry.borrow();
-        let slots = registry.slots().values();
+        let endpoints = self.endpoints.borrow();
+        let slots = endpoints.slots().values();
         PoolUsage {
-            endpoints: registry.slots().len(),
+            endpoints: endpoints.slots().len(),
             open_connections: self.limit.open_count(),
             waiting_attempts: slots.clone().map(|slot| slot.waiters.len()).sum(),
             dials_in_flight: slots.map(|slot| slot.dials_in_flight).sum(),
--- a/crates/node/src/upstream/pool/tests.rs
+++ b/crates/node/src/upstream/pool/tests.rs
@@ -11,7 +11,7 @@
 
 /// How many connections to the endpoint are idle in the pool.
 fn idle(pool: &Pool) -> usize {
-    pool.registry
+    pool.endpoints
         .borrow()
         .slots()
         .get(&ENDPOINT)
