--- a/crates/node/src/discovery/poll.rs
+++ b/crates/node/src/discovery/poll.rs
@@ -80,10 +80,11 @@
         commands: &mut mpsc::Receiver<DiscoveryCommand>,
         addresses: &mut watch::Receiver<SocketAddr>,
     ) -> PollEvent {
+        let is_watching = subscription == Subscription::Watching;
         tokio::select! {
             command = commands.recv() => PollEvent::Command(command),
             address = next_address(addresses) => PollEvent::DiscoveryMoved(address),
-            error = self.watch(), if subscription == Subscription::Watching => PollEvent::WatchFailed(error),
+            error = self.watch(), if is_watching => PollEvent::WatchFailed(error),
         }
     }
 }
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -50,7 +50,10 @@
             biased;
             result = self.exchange_attempt(&attempt, &written) => result,
             // The exchange is dropped, and its connection closes.
-            reason = stopped => ExchangeResult::without_response(outcome_of_stop(reason, written.get())),
+            reason = stopped => {
+                let outcome = outcome_of_stop(reason, written.get());
+                ExchangeResult::without_response(outcome)
+            }
         };
         AttemptResult {
             id: attempt.id,
--- a/crates/node/src/upstream/pool/dial.rs
+++ b/crates/node/src/upstream/pool/dial.rs
@@ -113,7 +113,8 @@
         let failure = match result {
             Ok(connection) => {
                 self.release(connection);
-                CheckoutError::ConnectionClosed // should it have broken at once
+                // Waiters are left without a dial only if it has broken at once.
+                CheckoutError::ConnectionClosed
             }
             Err(error) => error,
         };
