--- a/crates/node/src/config/error/tests.rs
+++ b/crates/node/src/config/error/tests.rs
@@ -1,5 +1,5 @@
 use crate::config::Config;
-use crate::error_chain::ErrorChain;
+use crate::logging::ErrorChain;
 use crate::startup::NodeError;
 
 const GOOD: &str = r#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"7f","limits":{"sockets":1024},
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -16,16 +16,23 @@
 
 /// A list is no JSON, or lacks what every list has.
 #[derive(Debug, thiserror::Error)]
-#[error("malformed endpoint list dropped: {0}")]
+#[error("malformed endpoint list dropped")]
 pub struct MalformedList(#[from] serde_json::Error);
 
 /// Why an entry of a list was dropped.
 #[derive(Debug, thiserror::Error)]
 pub enum EntryError {
-    #[error("malformed endpoint list entry dropped: {0}")]
+    /// It is no JSON object with the fields of an entry.
+    #[error("malformed endpoint list entry dropped")]
     Malformed(#[from] serde_json::Error),
+    /// Its zone is none of the settings'.
     #[error("malformed endpoint list entry dropped: {name}: unknown zone {zone}")]
-    UnknownZone { name: String, zone: String },
+    UnknownZone {
+        /// The endpoint's name.
+        name: String,
+        /// The zone's name.
+        zone: String,
+    },
 }
 
 /// A list or a change of it, its entries not parsed yet: a malformed one is dropped alone.
@@ -66,6 +73,7 @@
     since_ms: f64,
 }
 
+/// The state of an endpoint as discovery writes it.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Status {
@@ -88,14 +96,14 @@
     1.0
 }
 
-/// Parses entries by the names that the site's settings list.
+/// Parses entries by the names that the settings list.
 pub struct EntryParser {
     zone_names: Vec<String>,
     machine_type_names: Vec<String>,
 }
 
 impl EntryParser {
-    /// A parser for zones and machine types of these names, in the order of their numbers.
+    /// Returns a parser for zones and machine types of these names, in the order of their numbers.
     pub fn new(zone_names: Vec<String>, machine_type_names: Vec<String>) -> Self {
         EntryParser {
             zone_names,
@@ -130,6 +138,7 @@
         })
     }
 
+    /// Returns the number of a zone; `None` if its name is not in the settings.
     fn zone(&self, name: &str) -> Option<u8> {
         if name.is_empty() {
             Some(DEFAULT_ZONE)
@@ -139,14 +148,16 @@
     }
 }
 
+/// Returns the position of a name, which is its number.
 fn position(names: &[String], name: &str) -> Option<u8> {
     let position = names.iter().position(|known| known == name)?;
     u8::try_from(position).ok()
 }
 
-/// An endpoint's number: the 64-bit FNV-1a hash of its name. It depends on the name alone, since it
-/// must be the same at every node and after every restart; nodes agree by it without a message
-/// between them. Never change it.
+/// Returns an endpoint's number: the 64-bit FNV-1a hash of its name.
+///
+/// It depends on the name alone, since it must be the same at every node and after every restart;
+/// nodes agree by it without a message between them. Never change it.
 fn endpoint_id(name: &str) -> EndpointId {
     let mut hasher = FnvHasher::default();
     hasher.write(name.as_bytes());
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -3,17 +3,20 @@
 mod backoff;
 mod client;
 mod endpoint_list;
+mod error;
 mod framing;
 mod list_deadline;
+mod list_version;
 mod poll;
 mod readiness;
 mod watch;
 
-use crate::logging::log;
+use crate::logging::{ErrorChain, log};
 use crate::message::{DiscoveryCommand, EndpointListUpdate, ListedEndpoint, Message};
 use backoff::{ReconnectBackoff, longest_wait};
-use client::Client;
+use client::DiscoveryClient;
 use endpoint_list::{EndpointList, EntryParser};
+use list_version::ListVersion;
 use ottertiller_balancer::ListKind;
 use readiness::Readiness;
 use serde_json::Value;
@@ -38,31 +41,36 @@
     pub drain_grace: Duration,
     /// The names of zones, in the order of their numbers.
     pub zone_names: Vec<String>,
-    /// The names of machine kinds, in the order of their numbers.
+    /// The names of machine types, in the order of their numbers.
     pub machine_type_names: Vec<String>,
 }
 
 /// Keeps the endpoint list up to date, and sends each change to the driver.
 pub struct Discovery {
-    client: Client,
+    client: DiscoveryClient,
     backoff: ReconnectBackoff,
     parser: EntryParser,
     messages: mpsc::Sender<Message>,
     readiness: Readiness,
+    /// The cached list, until it has been applied.
     cached_list: Option<String>,
+    /// Whether the list must be polled.
     poll: bool,
     /// The version of the list that the driver has.
-    version: u64,
+    version: ListVersion,
 }
 
 /// Where a list comes from.
 #[derive(Clone, Copy)]
 enum ListSource {
+    /// The configuration.
     Cached,
+    /// A watch.
     Watched,
 }
 
 impl ListSource {
+    /// Returns the kind of a list from this source.
     fn kind(self, is_snapshot: bool) -> ListKind {
         match self {
             ListSource::Cached => ListKind::Cached,
@@ -73,11 +81,11 @@
 }
 
 impl Discovery {
-    /// Discovery that has not been called yet; lists go to `messages`.
+    /// Returns a discovery that has made no call yet, and sends lists to `messages`.
     pub fn new(options: DiscoveryOptions, messages: mpsc::Sender<Message>) -> Self {
         let longest_wait = longest_wait(options.drain_grace);
         Discovery {
-            client: Client::new(options.address, 2 * longest_wait),
+            client: DiscoveryClient::new(options.address, 2 * longest_wait),
             // Not the balancer's own random numbers.
             backoff: ReconnectBackoff::new(longest_wait, !options.seed),
             parser: EntryParser::new(options.zone_names, options.machine_type_names),
@@ -85,16 +93,16 @@
             readiness: Readiness::default(),
             cached_list: options.cached_list,
             poll: options.poll,
-            version: 0,
+            version: ListVersion::default(),
         }
     }
 
-    /// Whether the node knows enough endpoints to serve.
+    /// Returns the flag that says whether the node knows enough endpoints to serve.
     pub fn ready(&self) -> Rc<Cell<bool>> {
         self.readiness.flag()
     }
 
-    /// Keeps the list up to date, from the last of `addresses` whenever that changes.
+    /// Keeps the list up to date. Moves to the last of `addresses` whenever that changes.
     pub async fn run(
         mut self,
         commands: mpsc::Receiver<DiscoveryCommand>,
@@ -108,83 +116,99 @@
         }
     }
 
+    /// Applies the cached list of the configuration.
     async fn start_from_cached_list(&mut self) {
         let cached_list = self.cached_list.take().unwrap_or_default();
-        if !self
-            .apply_list(cached_list.as_bytes(), ListSource::Cached)
-            .await
-        {
+        let Some(list) = parse_list(cached_list.as_bytes()) else {
             // The balancer has to know that the node has started, or it would never ask for a list.
             self.publish(ListKind::Cached, Vec::new()).await;
-        } else if self.version > 0 {
+            return;
+        };
+        self.apply_list(list, ListSource::Cached).await;
+        if self.version.is_known() {
             self.readiness.set_after_first_call();
         }
     }
 
-    /// Discovery is elsewhere from now on. The list stays until that has sent a complete one, whose
-    /// versions need not be comparable with the old one's.
+    /// Makes calls to another address from now on.
+    ///
+    /// The list stays until discovery has sent a complete one from there, whose versions need not
+    /// be comparable with the old one's.
     fn move_to(&mut self, address: SocketAddr) {
         self.client.set_address(address);
         self.backoff.reset();
-        self.version = 0;
+        self.version = ListVersion::default();
     }
 
-    /// Applies a list; false if there is none. What is malformed is dropped: an entry alone where
-    /// the others can be parsed.
-    async fn apply_list(&mut self, text: &[u8], source: ListSource) -> bool {
-        if text.is_empty() {
-            return false;
-        }
-        let mut list = match EndpointList::parse(text) {
-            Ok(list) => list,
-            Err(error) => {
-                log(error);
-                return false;
-            }
-        };
+    /// Applies a list, and publishes what it changes. Malformed entries are dropped alone.
+    async fn apply_list(&mut self, list: EndpointList, source: ListSource) {
         let kind = source.kind(list.snapshot);
-        let version = list.index.unwrap_or(self.version);
-        if kind == ListKind::Delta && version < self.version {
-            // They would take back what is known since, such as that an endpoint drains.
-            log(format_args!(
-                "stale changes of version {version} dropped: the endpoint list is at {}",
-                self.version
-            ));
-            list.entries.clear();
-        }
-        let endpoints = self.parse_entries(list.entries);
+        let version = self.version.of_update(list.index);
+        let endpoints = self.parse_entries(self.current_entries(kind, version, list.entries));
         self.publish(kind, endpoints).await;
         // Only now: a watch that is dropped before has not published the list, and the next one has
         // to.
-        self.version = if kind == ListKind::Delta {
-            version.max(self.version)
-        } else {
-            version
-        };
+        self.version.advance(kind, version);
         if kind != ListKind::Cached || self.poll {
             self.readiness.set();
         }
-        true
     }
 
+    /// Returns the entries of an update; none if it is stale.
+    ///
+    /// A stale delta would take back what is known since, such as that an endpoint drains.
+    fn current_entries(
+        &self,
+        kind: ListKind,
+        version: ListVersion,
+        entries: Vec<Value>,
+    ) -> Vec<Value> {
+        if !self.version.makes_stale(kind, version) {
+            return entries;
+        }
+        log(format_args!(
+            "stale endpoint list changes dropped: version {}: the endpoint list is at {}",
+            version.number(),
+            self.version.number()
+        ));
+        Vec::new()
+    }
+
+    /// Parses entries; those that are malformed are logged and dropped.
     fn parse_entries(&self, entries: Vec<Value>) -> Vec<ListedEndpoint> {
         let mut endpoints = Vec::new();
         for entry in entries {
             match self.parser.parse(entry) {
                 Ok(endpoint) => endpoints.push(endpoint),
-                Err(error) => log(error),
+                Err(error) => log(ErrorChain(&error)),
             }
         }
         endpoints
     }
 
+    /// Sends an update to the driver.
     async fn publish(&self, kind: ListKind, endpoints: Vec<ListedEndpoint>) {
         let update = Message::EndpointList(EndpointListUpdate { kind, endpoints });
         let _ = self.messages.send(update).await; // fails only when the node has ended
     }
 }
 
-/// The next address that discovery moves to.
+/// Parses a list, but not its entries; returns `None` if the text is empty, or malformed and
+/// dropped.
+fn parse_list(text: &[u8]) -> Option<EndpointList> {
+    if text.is_empty() {
+        return None;
+    }
+    match EndpointList::parse(text) {
+        Ok(list) => Some(list),
+        Err(error) => {
+            log(ErrorChain(&error));
+            None
+        }
+    }
+}
+
+/// Waits until discovery moves, and returns its new address.
 async fn next_address(addresses: &mut watch_channel::Receiver<SocketAddr>) -> SocketAddr {
     match addresses.changed().await {
         Ok(()) => *addresses.borrow_and_update(),
--- a/crates/node/src/driver/tests/host.rs
+++ b/crates/node/src/driver/tests/host.rs
@@ -139,7 +139,7 @@
     }
 
     /// Returns the usage of all tables of the node: the driver's, the balancer's and the pool's.
-    pub fn all_usage(&self) -> (Usage, TableSizes, pool::Usage) {
+    pub fn all_usage(&self) -> (Usage, TableSizes, pool::PoolUsage) {
         let balancer = self.driver.balancer.table_sizes();
         (self.usage(), balancer, self.driver.upstream.pool_usage())
     }
--- a/crates/node/src/error_chain.rs
+++ b/crates/node/src/logging/error_chain.rs
@@ -6,7 +6,7 @@
 use std::error::Error;
 use std::fmt;
 
-/// Displays an error and its chain of sources in one line, separated by colons.
+/// Displays an error and its causes in one line, the outermost first, separated by colons.
 pub struct ErrorChain<'a>(pub &'a dyn Error);
 
 impl fmt::Display for ErrorChain<'_> {
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -12,7 +12,6 @@
 mod discovery;
 mod downstream;
 mod driver;
-mod error_chain;
 mod limits;
 mod logging;
 mod memory_budget;
@@ -23,7 +22,7 @@
 mod startup;
 mod upstream;
 
-use error_chain::ErrorChain;
+use logging::ErrorChain;
 use startup::NodeError;
 use std::process::ExitCode;
 use tokio::task::LocalSet;
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,8 +1,7 @@
 //! Reloads the configuration on SIGHUP. Only the address of discovery can change in a running node.
 
 use crate::config::Config;
-use crate::error_chain::ErrorChain;
-use crate::logging::log;
+use crate::logging::{ErrorChain, log};
 use crate::signals::ReloadSignal;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -7,7 +7,9 @@
 use crate::upstream::response::{ExchangeResult, outcome_of_error};
 use bytes::Bytes;
 use http_body_util::Full;
-use hyper::Request;
+use hyper::body::Incoming;
+use hyper::client::conn::TrySendError;
+use hyper::{Request, Response};
 use ottertiller_balancer::{EndpointId, Outcome};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -15,23 +17,27 @@
 use tokio::sync::oneshot;
 use tokio::sync::oneshot::error::RecvError;
 
-/// So many connections in a row may turn out broken before the request was written to them.
+/// The most connections in a row that may turn out broken before the request was written to them.
 const MAX_BROKEN_CONNECTIONS: usize = 4;
 
+/// A connection broke before a byte of the request was written to it: the request may go out on
+/// another one.
+struct BrokenBeforeWrite;
+
 /// An attempt to be made.
 pub struct Attempt {
     /// The attempt.
     pub id: AttemptId,
     /// Where it goes.
     pub endpoint: EndpointId,
-    /// When the node stops waiting for it.
+    /// When the node stops waiting for it, on the node's clock.
     pub expires_at: Duration,
     /// What is sent.
     pub upstream_request: Rc<UpstreamRequest>,
 }
 
 impl Upstream {
-    /// Makes an attempt, until it ends or is stopped.
+    /// Makes an attempt until it ends or is stopped, and returns how it ended.
     pub async fn run_attempt(
         self: Rc<Self>,
         attempt: Attempt,
@@ -42,7 +48,10 @@
             biased;
             result = self.exchange_attempt(&attempt, &written) => result,
             // The exchange is dropped, and its connection closes.
-            reason = stopped => ExchangeResult::without_response(outcome_of_stop(reason, written.get())),
+            reason = stopped => {
+                let outcome = outcome_of_stop(reason, written.get());
+                ExchangeResult::without_response(outcome)
+            }
         };
         CompletedAttempt {
             id: attempt.id,
@@ -52,44 +61,56 @@
         }
     }
 
-    /// Sends the request and reads the response; `written` is true while the endpoint may have got
-    /// any of it.
+    /// Sends the request and reads the response, on another connection if one breaks before
+    /// anything was written to it; `written` is true while the endpoint may have got any of it.
     async fn exchange_attempt(&self, attempt: &Attempt, written: &Cell<bool>) -> ExchangeResult {
         for _ in 0..MAX_BROKEN_CONNECTIONS {
-            let mut connection = match self.pool.checkout(attempt.endpoint).await {
-                Ok(connection) => connection,
-                Err(outcome) => return ExchangeResult::without_response(outcome),
-            };
-            if connection.sender.ready().await.is_err() {
-                continue;
-            }
-            // Time has passed since the decision: what was permitted then may not be any more.
-            let Some(request) = self.permitted_request(attempt, &connection) else {
-                self.pool.release(connection);
-                return ExchangeResult::without_response(Outcome::NotSent);
-            };
-            written.set(true);
-            match connection.sender.try_send_request(request).await {
-                Ok(response) => {
-                    let received = self.read_response(connection, response).await;
-                    if let Some(connection) = received.connection {
-                        self.pool.release_after_response(connection);
-                    }
-                    return received.result;
-                }
-                Err(mut error) => match error.take_message() {
-                    // Not a byte of it was written, so that it may go out on another connection.
-                    Some(_) => written.set(false),
-                    None => {
-                        return ExchangeResult::without_response(outcome_of_error(error.error()));
-                    }
-                },
+            if let Ok(result) = self.exchange_once(attempt, written).await {
+                return result;
             }
         }
         ExchangeResult::without_response(Outcome::ConnectFailed)
     }
 
-    /// The request as it is to be written now, if it still may be.
+    /// Sends the request on one connection and reads the response.
+    async fn exchange_once(
+        &self,
+        attempt: &Attempt,
+        written: &Cell<bool>,
+    ) -> Result<ExchangeResult, BrokenBeforeWrite> {
+        let mut connection = match self.pool.checkout(attempt.endpoint).await {
+            Ok(connection) => connection,
+            Err(error) => return Ok(ExchangeResult::without_response(error.outcome())),
+        };
+        let ready = connection.sender.ready().await;
+        ready.map_err(|_| BrokenBeforeWrite)?;
+        // Time has passed since the decision: what was permitted then may not be any more.
+        let Some(request) = self.permitted_request(attempt, &connection) else {
+            self.pool.release(connection);
+            return Ok(ExchangeResult::without_response(Outcome::NotSent));
+        };
+        written.set(true);
+        match connection.sender.try_send_request(request).await {
+            Ok(response) => Ok(self.receive(connection, response).await),
+            Err(error) => result_of_send_error(error, written),
+        }
+    }
+
+    /// Reads the response, and gives the connection back to the pool if it can carry another
+    /// request.
+    async fn receive(
+        &self,
+        connection: Connection,
+        response: Response<Incoming>,
+    ) -> ExchangeResult {
+        let received = self.read_response(connection, response).await;
+        if let Some(connection) = received.connection {
+            self.pool.release_after_response(connection);
+        }
+        received.result
+    }
+
+    /// Returns the request as it is to be written now, if it still may be.
     fn permitted_request(
         &self,
         attempt: &Attempt,
@@ -100,8 +121,23 @@
     }
 }
 
-/// How an attempt that was stopped ended; the reason is missing if the driver has forgotten the
-/// attempt.
+/// Returns how an attempt ended whose request could not be sent, or got no response.
+///
+/// An error that gives the request back means that not a byte of it was written.
+fn result_of_send_error(
+    mut error: TrySendError<Request<Full<Bytes>>>,
+    written: &Cell<bool>,
+) -> Result<ExchangeResult, BrokenBeforeWrite> {
+    if error.take_message().is_some() {
+        written.set(false);
+        return Err(BrokenBeforeWrite);
+    }
+    let outcome = outcome_of_error(error.error());
+    Ok(ExchangeResult::without_response(outcome))
+}
+
+/// Returns how an attempt ended that was stopped. The reason is missing if the driver has forgotten
+/// the attempt.
 fn outcome_of_stop(reason: Result<StopReason, RecvError>, written: bool) -> Outcome {
     if !written {
         return Outcome::NotSent;
--- a/crates/node/src/upstream/attempt/tests.rs
+++ b/crates/node/src/upstream/attempt/tests.rs
@@ -5,7 +5,7 @@
 use crate::socket::fault_injection::InjectedFaults;
 use crate::upstream::load_report::LoadReportParser;
 use crate::upstream::pool::Pool;
-use crate::upstream::pool::tests::{ENDPOINT, with_pool};
+use crate::upstream::pool::tests::harness::{ENDPOINT, with_pool};
 use hyper::Method;
 use hyper::header::HeaderValue;
 use ottertiller_balancer::{EndpointState, ListKind, LoadReportSource, RequestId};
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn an_attempt_no_longer_permitted_once_it_has_a_connection_is_never_sent() {
+fn an_attempt_that_is_no_longer_permitted_is_never_sent() {
     let nothing = || (Outcome::NotSent, String::new());
     let late = outcome_after(|_, attempt, _, now| attempt.expires_at = now);
     assert_eq!(late, nothing(), "its time is over");
@@ -131,7 +131,7 @@
 /// The connection has failed once the request was on its way: nothing says that the request never
 /// ran.
 #[test]
-fn an_attempt_whose_connection_fails_after_it_was_written_may_have_run() {
+fn an_attempt_whose_connection_fails_after_the_write_is_reset() {
     for errno in [
         Errno::TIMEDOUT,
         Errno::HOSTUNREACH,
--- a/crates/node/src/upstream/health_check.rs
+++ b/crates/node/src/upstream/health_check.rs
@@ -9,15 +9,16 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// What a health check that takes longer would say is out of date.
+/// How long a health check may take: what a slower one would say is out of date.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
-/// Responds with a load report.
+/// The path that responds with a load report.
 const STATS_PATH: &str = "/stats";
-/// Responds if the endpoint is alive.
+/// The path that responds if the endpoint is alive.
 const LIVENESS_PATH: &str = "/health/live";
 
 impl Upstream {
-    /// Checks an endpoint's health; `started` is when the check was decided on.
+    /// Checks an endpoint's health. `started` is when the check was decided on, on the node's
+    /// clock.
     pub async fn check_health(
         self: Rc<Self>,
         endpoint: EndpointId,
@@ -34,10 +35,11 @@
         }
     }
 
+    /// Sends the request of a health check and reads the response.
     async fn exchange_health_check(&self, endpoint: EndpointId) -> ExchangeResult {
         let mut connection = match self.pool.checkout(endpoint).await {
             Ok(connection) => connection,
-            Err(outcome) => return ExchangeResult::without_response(outcome),
+            Err(error) => return ExchangeResult::without_response(error.outcome()),
         };
         let Some(address) = self.pool.destination(&connection) else {
             return ExchangeResult::without_response(Outcome::NotSent);
@@ -60,7 +62,8 @@
         received.result
     }
 
-    /// The report in the body is the fuller one.
+    /// Returns the load report of a health check. The one in the body is fuller than the one in the
+    /// headers.
     fn report_of_health_check(&self, result: &ExchangeResult) -> Option<LoadReport> {
         let in_body = result
             .body
--- a/crates/node/src/upstream/pool/registry.rs
+++ b/crates/node/src/upstream/pool/endpoint_table.rs
@@ -3,9 +3,10 @@
 
 use crate::message::ListedEndpoint;
 use crate::upstream::pool::epoch::Epoch;
+use crate::upstream::pool::error::CheckoutError;
 use crate::upstream::pool::idle::IdleConnections;
 use crate::upstream::pool::waiters::WaiterQueue;
-use ottertiller_balancer::{EndpointId, EndpointState, ListKind, Outcome};
+use ottertiller_balancer::{EndpointId, EndpointState, ListKind};
 use std::collections::{BTreeMap, BTreeSet, btree_map};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,14 +21,16 @@
     pub idle: IdleConnections,
     /// Attempts that wait for a connection to it.
     pub waiters: WaiterQueue,
-    /// Dials under way in this epoch: never fewer than waiters.
+    /// Dials in flight in this epoch: never fewer than waiters.
     pub dials_in_flight: usize,
-    /// Its state and its last start, as listed.
+    /// Its state, as listed.
     state: EndpointState,
+    /// When it was last started, as listed.
     started: Option<Duration>,
 }
 
 impl EndpointSlot {
+    /// Returns the slot of an endpoint that has just been listed.
     fn new(listed: &ListedEndpoint, epoch: Epoch) -> Self {
         EndpointSlot {
             address: listed.address,
@@ -40,13 +43,15 @@
         }
     }
 
-    /// Whether new requests may be sent to it.
+    /// Returns whether new requests may be sent to the endpoint.
     pub fn is_ready(&self) -> bool {
         self.state == EndpointState::Ready
     }
 
-    /// Takes over an entry of the list. Connections to an earlier run of the endpoint, or to one
-    /// that takes no new requests, are of no more use: `epoch` begins.
+    /// Takes over an entry of the list.
+    ///
+    /// Connections to an earlier run of the endpoint, or to one that takes no new requests, are of
+    /// no more use: `epoch` begins.
     fn update(&mut self, listed: &ListedEndpoint, epoch: Epoch) {
         let replaced = self.address != listed.address || self.started != listed.entry.started;
         self.address = listed.address;
@@ -57,26 +62,31 @@
         }
     }
 
-    /// Closes what belongs to the epoch before. Waiting attempts are to be decided anew, since what
-    /// was permitted before may not be permitted any more.
+    /// Closes what belongs to the epoch before.
+    ///
+    /// Waiting attempts are to be decided anew, since what was permitted before may not be
+    /// permitted any more.
     fn begin_epoch(&mut self, epoch: Epoch) {
         self.epoch = epoch;
         self.dials_in_flight = 0;
         self.idle.close_all();
-        self.waiters.fail_all(Outcome::NotSent);
+        self.waiters.fail_all(CheckoutError::EndpointUnavailable);
     }
 }
 
-/// The endpoints by their numbers.
+/// The listed endpoints by their numbers.
 #[derive(Default)]
-pub struct EndpointRegistry {
+pub struct EndpointTable {
     slots: BTreeMap<EndpointId, EndpointSlot>,
+    /// The last epoch that was given out to any endpoint.
     last_epoch: Epoch,
 }
 
-impl EndpointRegistry {
-    /// Applies a change of the endpoint list, or a complete list. Endpoints that are removed are
-    /// forgotten: nothing more is sent to them, and over a day there are ever new ones.
+impl EndpointTable {
+    /// Applies an update of the endpoint list.
+    ///
+    /// Endpoints that are removed are forgotten: nothing more is sent to them, and over a day there
+    /// are ever new ones.
     pub fn apply(&mut self, kind: ListKind, listed: &[ListedEndpoint]) {
         if matches!(kind, ListKind::Snapshot | ListKind::Cached) {
             self.remove_unlisted(listed);
@@ -88,17 +98,19 @@
             .retain(|_, slot| slot.state != EndpointState::Removed);
     }
 
+    /// Removes the endpoints that a complete list lacks.
     fn remove_unlisted(&mut self, listed: &[ListedEndpoint]) {
         let listed_ids: BTreeSet<_> = listed.iter().map(|endpoint| endpoint.entry.id).collect();
         self.slots.retain(|id, slot| {
             let keep = listed_ids.contains(id);
             if !keep {
-                slot.waiters.fail_all(Outcome::NotSent);
+                slot.waiters.fail_all(CheckoutError::EndpointUnavailable);
             }
             keep
         });
     }
 
+    /// Adds or updates one endpoint.
     fn apply_entry(&mut self, listed: &ListedEndpoint) {
         let epoch = self.last_epoch.next();
         self.last_epoch = epoch;
@@ -110,17 +122,22 @@
         }
     }
 
-    /// The endpoint, in whatever epoch it is.
+    /// Returns the endpoint, in whatever epoch it is.
     pub fn get_mut(&mut self, id: EndpointId) -> Option<&mut EndpointSlot> {
         self.slots.get_mut(&id)
     }
 
-    /// The endpoint, if it still is in that epoch.
+    /// Returns the endpoint that a connection is checked out for.
+    pub fn available(&mut self, id: EndpointId) -> Result<&mut EndpointSlot, CheckoutError> {
+        self.get_mut(id).ok_or(CheckoutError::EndpointUnavailable)
+    }
+
+    /// Returns the endpoint, if it still is in that epoch.
     pub fn in_epoch(&self, id: EndpointId, epoch: Epoch) -> Option<&EndpointSlot> {
         self.slots.get(&id).filter(|slot| slot.epoch == epoch)
     }
 
-    /// As [`EndpointRegistry::in_epoch`], to be changed.
+    /// Returns the endpoint to be changed, if it still is in that epoch.
     pub fn in_epoch_mut(&mut self, id: EndpointId, epoch: Epoch) -> Option<&mut EndpointSlot> {
         self.slots.get_mut(&id).filter(|slot| slot.epoch == epoch)
     }
@@ -132,8 +149,8 @@
         }
     }
 
-    /// Closes the connection that has been idle for longest, of all endpoints; false if none is
-    /// idle.
+    /// Closes the connection that has been idle for longest, of all endpoints; returns false if
+    /// none is idle.
     pub fn close_longest_idle(&mut self) -> bool {
         let candidates = self
             .slots
@@ -145,7 +162,7 @@
         }
     }
 
-    /// All endpoints.
+    /// Returns all endpoints.
     #[cfg(test)]
     pub fn slots(&self) -> &BTreeMap<EndpointId, EndpointSlot> {
         &self.slots
--- a/crates/node/src/upstream/pool/mod.rs
+++ b/crates/node/src/upstream/pool/mod.rs
@@ -4,18 +4,20 @@
 mod checkout;
 mod connection;
 mod dial;
+mod endpoint_table;
 mod epoch;
+mod error;
 mod idle;
-mod registry;
+mod limit;
 mod waiters;
 
 pub use connection::Connection;
 
 use crate::clock::Clock;
 use crate::message::ListedEndpoint;
-use connection::ConnectionLimit;
+use endpoint_table::EndpointTable;
+use limit::ConnectionLimit;
 use ottertiller_balancer::{EndpointId, ListKind};
-use registry::EndpointRegistry;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -23,36 +25,41 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
+/// How long connections cool down after a response.
+///
 /// A second copy of a response may arrive some milliseconds behind the first. On a connection that
-/// carries another request by then, it would be taken for the response to that: connections cool
-/// down for so long after a response. Copies have been seen up to 4 ms late; a longer cool-down
-/// costs handshakes.
+/// carries another request by then, it would be taken for the response to that. Copies have been
+/// seen up to 4 ms late; a longer cool-down costs handshakes.
 pub const RESPONSE_COOLDOWN: Duration = Duration::from_millis(6);
 /// The shortest time between two sweeps for connections that have been idle for too long.
 const MIN_SWEEP_INTERVAL: Duration = Duration::from_millis(5);
-/// Sweeps within one idle timeout.
+/// The number of sweeps within one idle timeout.
 const SWEEPS_PER_IDLE_TIMEOUT: u32 = 8;
 
 /// The options of the pool.
 #[derive(Clone, Debug)]
 pub struct PoolOptions {
-    /// The most connections that may be open at once, dials under way included.
+    /// The most connections that may be open at once, dials in flight included.
     pub max_connections: usize,
     /// How long a dial may take.
     pub connect_timeout: Duration,
     /// Endpoints close connections that have been idle for so long.
     pub endpoint_idle_timeout: Duration,
-    /// How long a connection stays unused after a response; [`RESPONSE_COOLDOWN`] but for tests.
+    /// How long a connection stays unused after a response; [`RESPONSE_COOLDOWN`] except in tests.
     pub response_cooldown: Duration,
 }
 
 /// What the pool holds.
 #[cfg(test)]
 #[derive(Debug, PartialEq, Eq)]
-pub struct Usage {
+pub struct PoolUsage {
+    /// The endpoints that are known.
     pub endpoints: usize,
+    /// Open connections, dials in flight included.
     pub open_connections: usize,
+    /// Attempts and health checks that wait for a connection.
     pub waiting_attempts: usize,
+    /// Dials in flight.
     pub dials_in_flight: usize,
 }
 
@@ -63,18 +70,18 @@
     /// How long a connection may be idle.
     idle_timeout: Duration,
     limit: ConnectionLimit,
-    registry: RefCell<EndpointRegistry>,
+    endpoints: RefCell<EndpointTable>,
 }
 
 impl Pool {
-    /// A pool that knows no endpoint yet, and its task that closes idle connections.
+    /// Returns a pool that knows no endpoint yet, and starts the task that closes idle connections.
     pub fn start(clock: Clock, options: PoolOptions) -> Rc<Self> {
         let pool = Rc::new(Pool {
             clock,
             // A request written just when the endpoint closes the connection would end as a reset.
             idle_timeout: options.endpoint_idle_timeout * 3 / 4,
             limit: ConnectionLimit::new(options.max_connections),
-            registry: RefCell::default(),
+            endpoints: RefCell::default(),
             options,
         });
         spawn_local(pool.clone().sweep_idle());
@@ -86,24 +93,24 @@
         let interval = (self.idle_timeout / SWEEPS_PER_IDLE_TIMEOUT).max(MIN_SWEEP_INTERVAL);
         loop {
             sleep(interval).await;
-            self.registry
+            self.endpoints
                 .borrow_mut()
                 .evict_expired(self.clock.now(), self.idle_timeout);
         }
     }
 
-    /// Applies a change of the endpoint list, or a complete list: where endpoints listen, and which
-    /// are ready.
+    /// Applies an update of the endpoint list: where endpoints listen, and which are ready.
     pub fn update(&self, kind: ListKind, listed: &[ListedEndpoint]) {
-        self.registry.borrow_mut().apply(kind, listed);
+        self.endpoints.borrow_mut().apply(kind, listed);
     }
 
     /// Takes back a connection that has carried nothing since it was checked out or dialled, or
-    /// whose last exchange needs no cool-down. The longest waiting attempt gets it; if nobody
-    /// waits, it stays idle for the next.
+    /// whose last exchange needs no cool-down.
+    ///
+    /// The longest waiting attempt gets it; if nobody waits, it stays idle for the next.
     pub fn release(&self, connection: Connection) {
-        let mut registry = self.registry.borrow_mut();
-        let Some(slot) = registry.in_epoch_mut(connection.endpoint, connection.epoch) else {
+        let mut endpoints = self.endpoints.borrow_mut();
+        let Some(slot) = endpoints.in_epoch_mut(connection.endpoint, connection.epoch) else {
             return;
         };
         if !connection.is_usable() {
@@ -120,8 +127,8 @@
         let now = self.clock.now();
         let endpoint = connection.endpoint;
         connection.cooling_until = now + self.options.response_cooldown;
-        let mut registry = self.registry.borrow_mut();
-        let Some(slot) = registry.in_epoch_mut(endpoint, connection.epoch) else {
+        let mut endpoints = self.endpoints.borrow_mut();
+        let Some(slot) = endpoints.in_epoch_mut(endpoint, connection.epoch) else {
             return;
         };
         slot.idle.push(connection, now);
@@ -138,31 +145,33 @@
         }
     }
 
+    /// Takes an idle connection if anybody waits for one.
     fn take_for_waiter(&self, endpoint: EndpointId) -> Option<Connection> {
-        let mut registry = self.registry.borrow_mut();
-        let slot = registry
+        let mut endpoints = self.endpoints.borrow_mut();
+        let slot = endpoints
             .get_mut(endpoint)
             .filter(|slot| !slot.waiters.is_empty())?;
         slot.idle.take_usable(self.clock.now(), self.idle_timeout)
     }
 
-    /// Where a connection leads, if a request may still be sent there: the endpoint is ready, and
-    /// still the one that was chosen. The grace of a drain is for requests that have been written
-    /// by then.
+    /// Returns where a connection leads, if a request may still be sent there: the endpoint is
+    /// ready, and still the one that was chosen.
+    ///
+    /// The grace of a drain is for requests that have been written by then.
     pub fn destination(&self, connection: &Connection) -> Option<SocketAddr> {
-        let registry = self.registry.borrow();
-        let slot = registry.in_epoch(connection.endpoint, connection.epoch)?;
+        let endpoints = self.endpoints.borrow();
+        let slot = endpoints.in_epoch(connection.endpoint, connection.epoch)?;
         slot.is_ready().then_some(slot.address)
     }
 
-    /// What the pool holds now.
+    /// Returns what the pool holds now.
     #[cfg(test)]
-    pub fn usage(&self) -> Usage {
-        let registry = self.registry.borrow();
-        let slots = registry.slots().values();
-        Usage {
-            endpoints: registry.slots().len(),
-            open_connections: self.limit.get(),
+    pub fn usage(&self) -> PoolUsage {
+        let endpoints = self.endpoints.borrow();
+        let slots = endpoints.slots().values();
+        PoolUsage {
+            endpoints: endpoints.slots().len(),
+            open_connections: self.limit.open_count(),
             waiting_attempts: slots.clone().map(|slot| slot.waiters.len()).sum(),
             dials_in_flight: slots.map(|slot| slot.dials_in_flight).sum(),
         }
