--- a/crates/balancer-simulation/src/fleet/attempts.rs
+++ b/crates/balancer-simulation/src/fleet/attempts.rs
@@ -1,7 +1,7 @@
 //! The attempts of a fleet's requests.
 
 use super::FleetSimulation;
-use super::schedule::Due;
+use super::schedule::{Due, ScheduledAttemptEnd};
 use ottertiller_balancer::{
     AttemptEnd, EndpointId, Event, LoadReport, LoadReportSource, Outcome, RequestId,
 };
@@ -13,14 +13,6 @@
     ended: bool,
 }
 
-/// The end of an attempt at a node.
-pub(super) struct ScheduledAttemptEnd {
-    pub(super) id: RequestId,
-    pub(super) attempt: usize,
-    pub(super) outcome: Outcome,
-    pub(super) started: Duration,
-}
-
 impl FleetSimulation {
     /// Starts an attempt, and schedules its end.
     pub(super) fn start_attempt(
--- a/crates/balancer-simulation/src/fleet/nodes.rs
+++ b/crates/balancer-simulation/src/fleet/nodes.rs
@@ -1,7 +1,7 @@
 //! The nodes of a fleet: their starts, the events that they handle, and the actions that follow.
 
 use super::attempts::{Attempt, ScheduledAttemptEnd};
-use super::schedule::Due;
+use super::schedule::{Due, ScheduledAttemptEnd};
 use super::{FleetSimulation, HEALTH_CHECK_DELAY, LIST_DELAY};
 use ottertiller_balancer::{
     Action, Balancer, EndpointEntry, Event, ListKind, NewRequest, Outcome, RequestId, Settings,
--- a/crates/balancer-simulation/src/fleet/schedule.rs
+++ b/crates/balancer-simulation/src/fleet/schedule.rs
@@ -1,8 +1,7 @@
 //! The events to come, in the order of their time. Events of the same time are in the order in
 //! which they were added.
 
-use super::attempts::ScheduledAttemptEnd;
-use ottertiller_balancer::{EndpointId, RequestId, Timer};
+use ottertiller_balancer::{EndpointId, Outcome, RequestId, Timer};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
@@ -24,6 +23,14 @@
     },
 }
 
+/// The end of an attempt at a node.
+pub(super) struct ScheduledAttemptEnd {
+    pub(super) id: RequestId,
+    pub(super) attempt: usize,
+    pub(super) outcome: Outcome,
+    pub(super) started: Duration,
+}
+
 /// An event at a node, in one run of it.
 pub(super) struct Scheduled {
     pub(super) node: usize,
--- a/crates/node/src/downstream/admission.rs
+++ b/crates/node/src/downstream/admission.rs
@@ -1,12 +1,12 @@
 //! The admission of requests whose head has been checked: leases memory for the body, reads it, and
 //! reserves the call id.
 
-use super::graceful_shutdown::ShutdownPhase;
 use super::in_flight_call_ids::{CallIdReservation, InFlightCallIds};
 use super::rejection::Rejection;
 use super::request_body;
 use super::request_error::RequestError;
 use super::request_parser::ParsedRequest;
+use super::shutdown_phase::ShutdownPhase;
 use crate::clock::Clock;
 use crate::logging::log_peer;
 use crate::memory_budget::Budget;
--- a/crates/node/src/downstream/graceful_shutdown.rs
+++ b/crates/node/src/downstream/graceful_shutdown.rs
@@ -1,4 +1,5 @@
-//! The graceful shutdown of the downstream side: its phases, and the drain that goes through them.
+//! The graceful shutdown of the downstream side: the drain, which goes through the phases of the
+//! shutdown.
 //!
 //! ```text
 //! Serving --shutdown signal--> Draining --0.55 s--> Shedding --no connection left--> end
@@ -6,6 +7,7 @@
 
 use super::connection_registry::ConnectionRegistry;
 use super::listener::{Acceptor, Listener};
+use super::shutdown_phase::ShutdownPhase;
 use crate::logging::log;
 use crate::message::Message;
 use std::cell::Cell;
@@ -24,30 +26,6 @@
 /// response.
 const FINAL_CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A phase of the shutdown. Each phase follows the one before it, and none comes back.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum ShutdownPhase {
-    /// Requests are served, and connections are kept.
-    Serving,
-    /// The node is not ready: requests are still served, but each connection closes with its next
-    /// response.
-    Draining,
-    /// There is no time left to serve further requests: they are shed.
-    Shedding,
-}
-
-impl ShutdownPhase {
-    /// Returns whether the shutdown has begun.
-    pub fn is_draining(self) -> bool {
-        self >= ShutdownPhase::Draining
-    }
-
-    /// Returns whether requests are shed without being admitted.
-    pub fn sheds_requests(self) -> bool {
-        self >= ShutdownPhase::Shedding
-    }
-}
-
 /// Shuts the downstream side down without losing a request that it has accepted.
 pub struct GracefulShutdown {
     /// The phase, which the other parts read.
--- a/crates/node/src/downstream/http_server.rs
+++ b/crates/node/src/downstream/http_server.rs
@@ -2,10 +2,10 @@
 
 use super::connection::Connection;
 use super::connection_registry::ConnectionRegistry;
-use super::graceful_shutdown::ShutdownPhase;
 use super::rejection::Rejection;
 use super::request_handler::RequestHandler;
 use super::response::FullResponse;
+use super::shutdown_phase::ShutdownPhase;
 use super::timeouts::READ_TIMEOUT;
 use crate::limits::READ_BUFFER_BYTES;
 use crate::socket::Socket;
--- a/crates/node/src/downstream/readiness_check.rs
+++ b/crates/node/src/downstream/readiness_check.rs
@@ -1,7 +1,7 @@
 //! The readiness check.
 
-use super::graceful_shutdown::ShutdownPhase;
 use super::response::{self, FullResponse};
+use super::shutdown_phase::ShutdownPhase;
 use hyper::StatusCode;
 use std::cell::Cell;
 use std::rc::Rc;
