--- a/crates/balancer-simulation/src/fleet/nodes.rs
+++ b/crates/balancer-simulation/src/fleet/nodes.rs
@@ -1,6 +1,6 @@
 //! The nodes of a fleet: their starts, the events that they handle, and the actions that follow.
 
-use super::attempts::{Attempt, ScheduledAttemptEnd};
+use super::attempts::Attempt;
 use super::schedule::{Due, ScheduledAttemptEnd};
 use super::{FleetSimulation, HEALTH_CHECK_DELAY, LIST_DELAY};
 use ottertiller_balancer::{
