--- /dev/null
+++ b/crates/xtask/src/command_line.rs
@@ -0,0 +1,42 @@
+//! The subcommands and their arguments.
+
+use crate::verdict::TestRunFiles;
+use clap::{Parser, Subcommand};
+use std::path::PathBuf;
+
+/// The project's checks, run from the root of the repository.
+#[derive(Debug, Parser)]
+#[command(name = "xtask")]
+pub struct CommandLine {
+    /// The check to run.
+    #[command(subcommand)]
+    pub check: Check,
+}
+
+/// A check and what it is run on.
+#[derive(Debug, Subcommand)]
+pub enum Check {
+    /// Checks that tests stand in test files and that no file has over 400 non-blank lines
+    Sources {
+        /// The folder whose Rust sources are checked
+        folder: PathBuf,
+    },
+    /// Checks that the policy files of the deploy file are short and do no input or output
+    Decisions {
+        /// The deploy file, whose files are named from the working directory
+        deploy_file: PathBuf,
+    },
+    /// Decides whether a run of the tests passes, with the failures that are known
+    Verdict(TestRunFiles),
+}
+
+impl Check {
+    /// Returns the name of the subcommand, which begins each line of its findings.
+    pub fn name(&self) -> &'static str {
+        match self {
+            Check::Sources { .. } => "sources",
+            Check::Decisions { .. } => "decisions",
+            Check::Verdict(_) => "verdict",
+        }
+    }
+}
--- /dev/null
+++ b/crates/xtask/src/read_error.rs
@@ -0,0 +1,36 @@
+//! Files and folders that cannot be read.
+
+use std::fs;
+use std::io;
+use std::path::{Path, PathBuf};
+use thiserror::Error;
+
+/// A file or folder that a check needs cannot be read.
+#[derive(Debug, Error)]
+#[error("cannot read {}", path.display())]
+pub struct ReadError {
+    path: PathBuf,
+    #[source]
+    cause: io::Error,
+}
+
+impl ReadError {
+    /// Returns a function that names the path in an error of input.
+    pub fn at(path: &Path) -> impl FnOnce(io::Error) -> Self + '_ {
+        |cause| ReadError {
+            path: path.to_path_buf(),
+            cause,
+        }
+    }
+
+    /// Returns whether the file is missing.
+    pub fn is_not_found(&self) -> bool {
+        self.cause.kind() == io::ErrorKind::NotFound
+    }
+}
+
+/// Returns the text of a file. Bytes that are not UTF-8 are replaced.
+pub fn read_text(path: &Path) -> Result<String, ReadError> {
+    let bytes = fs::read(path).map_err(ReadError::at(path))?;
+    Ok(String::from_utf8_lossy(&bytes).into_owned())
+}
--- /dev/null
+++ b/crates/xtask/src/verdict.rs
@@ -0,0 +1,167 @@
+//! The verdict on a run of the tests: it passes if every test program came to an end and no test
+//! failed but those that `KNOWN-RED.txt` lists.
+
+mod known_red;
+
+use crate::read_error::{ReadError, read_text};
+use crate::test_output::{
+    Test, TestProgram, announced_programs, count_failures, count_results, failure_lines,
+    listed_tests,
+};
+use clap::Args;
+use known_red::{KnownRed, KnownRedError};
+use std::collections::BTreeSet;
+use std::path::PathBuf;
+use thiserror::Error;
+
+/// The files that tell of a run of the tests.
+///
+/// Each test is named as PROGRAM/PATH::NAME, such as
+/// node/tests/node/main.rs::discovery::a_silent_watch_is_broken or
+/// ottertiller/src/main.rs::driver::tests::it_drives. PATH is the source file that cargo prints
+/// ("Running PATH"), and PROGRAM the test program without its hash
+/// ("target/debug/deps/PROGRAM-0123456789abcdef"): packages of a workspace may have a file of the
+/// same path. Tests of the documentation are named CRATE/doc-tests::NAME. Where two programs have
+/// the same name all the same, the verdict fails.
+#[derive(Debug, Args)]
+pub struct TestRunFiles {
+    /// The file with what `cargo test -- --list` printed
+    tests: PathBuf,
+    /// The file with what the run printed
+    output: PathBuf,
+    /// The exit code of the run
+    status: i32,
+    /// The file of the tests that may fail, which need not exist; each line is "TEST | CAUSE |
+    /// issue N"
+    known_red: PathBuf,
+}
+
+impl TestRunFiles {
+    /// Reads the files.
+    pub fn read(&self) -> Result<TestRun, ReadError> {
+        let known_red = match read_text(&self.known_red) {
+            Ok(text) => text,
+            Err(error) if error.is_not_found() => String::new(),
+            Err(error) => return Err(error),
+        };
+        Ok(TestRun {
+            listing: read_text(&self.tests)?,
+            output: read_text(&self.output)?,
+            status: self.status,
+            known_red,
+        })
+    }
+}
+
+/// What is known of a run of the tests.
+#[derive(Debug)]
+pub struct TestRun {
+    listing: String,
+    output: String,
+    status: i32,
+    known_red: String,
+}
+
+/// Whether a run passes.
+#[derive(Debug)]
+pub struct Verdict {
+    /// The lines to print of tests that are known to fail.
+    pub notes: Vec<String>,
+    /// Why the run does not pass.
+    pub failure: Option<VerdictFailure>,
+}
+
+/// Why a run does not pass.
+#[derive(Debug, Error)]
+pub enum VerdictFailure {
+    /// Failures could not be told apart.
+    #[error("two test programs have the same name: {0}")]
+    SameName(String),
+    /// `KNOWN-RED.txt` cannot be used.
+    #[error(transparent)]
+    KnownRed(#[from] KnownRedError),
+    /// The build failed, or the command runs no tests.
+    #[error("no test was run")]
+    NoTests,
+    /// A test program ended without a result.
+    #[error("{programs} test programs were run, and {results} came to an end")]
+    Unfinished { programs: usize, results: usize },
+    /// The names that were found are not those of all failed tests.
+    #[error("not all of the {0} failed tests could be named")]
+    Unnamed(usize),
+    /// A test failed that may not.
+    #[error("{0} failed")]
+    Failed(String),
+    /// Something else than a test failed.
+    #[error("the tests ended with {0} though none failed")]
+    Status(i32),
+}
+
+impl TestRun {
+    /// Decides whether the run passes.
+    pub fn judge(&self) -> Verdict {
+        let mut notes = Vec::new();
+        let failure = self.pass(&mut notes).err();
+        Verdict { notes, failure }
+    }
+
+    fn pass(&self, notes: &mut Vec<String>) -> Result<(), VerdictFailure> {
+        require_distinct_programs(&self.listing)?;
+        let tests = listed_tests(&self.listing);
+        let existing: BTreeSet<String> = tests.iter().map(Test::full_name).collect();
+        let known = known_red::parse(&self.known_red, &existing)?;
+        notes.extend(known.iter().map(|red| format!("known red: {}", red.line)));
+
+        self.require_end()?;
+        let failed = self.failed_tests(&existing)?;
+        let is_known = |name: &String| known.iter().any(|red| red.test == *name);
+        if let Some(name) = failed.iter().find(|name| !is_known(name)) {
+            return Err(VerdictFailure::Failed(name.clone()));
+        }
+        if self.status != 0 && failed.is_empty() {
+            return Err(VerdictFailure::Status(self.status));
+        }
+        let passes = |red: &&KnownRed| !failed.contains(&red.test);
+        let passing = known.iter().filter(passes);
+        notes.extend(passing.map(|red| format!("known red, but it passes: {}", red.test)));
+        Ok(())
+    }
+
+    /// Requires that every test program that was started has counted its results.
+    fn require_end(&self) -> Result<(), VerdictFailure> {
+        let programs = announced_programs(&self.output).len();
+        let results = count_results(&self.output);
+        if programs == 0 {
+            return Err(VerdictFailure::NoTests);
+        }
+        if programs != results {
+            return Err(VerdictFailure::Unfinished { programs, results });
+        }
+        Ok(())
+    }
+
+    /// Returns the names of the failed tests, if there are as many as the programs counted.
+    fn failed_tests(
+        &self,
+        existing: &BTreeSet<String>,
+    ) -> Result<BTreeSet<String>, VerdictFailure> {
+        let named = failure_lines(&self.output).into_iter();
+        let named = named.map(|test| test.full_name());
+        let failed: BTreeSet<String> = named.filter(|name| existing.contains(name)).collect();
+        let counted = count_failures(&self.output);
+        if counted != failed.len() {
+            return Err(VerdictFailure::Unnamed(counted));
+        }
+        Ok(failed)
+    }
+}
+
+fn require_distinct_programs(listing: &str) -> Result<(), VerdictFailure> {
+    let mut names = BTreeSet::new();
+    let programs = announced_programs(listing);
+    let mut programs = programs.iter().map(TestProgram::full_name);
+    match programs.find(|name| !names.insert(name.clone())) {
+        Some(twice) => Err(VerdictFailure::SameName(twice)),
+        None => Ok(()),
+    }
+}
--- /dev/null
+++ b/crates/xtask/tests/decisions.rs
@@ -0,0 +1,38 @@
+//! The check of the decision module.
+
+mod support;
+
+use support::Folder;
+
+#[test]
+fn decisions_are_files_that_exist_do_no_input_or_output_and_are_not_long() {
+    const DECISION: &str =
+        "use std::time::Duration;\n\nfn decide(now: Duration) -> bool {\n    now.is_zero()\n}\n";
+    let check = |policy: &str, text: &str| {
+        let deploy = format!("run = \"exec node\"\npolicy = [{policy}]   # the decisions\n");
+        Folder::new(&[("deploy.toml", &deploy), ("src/decide.rs", text)])
+            .xtask(&["decisions", "deploy.toml"])
+    };
+    let good = "\"src/decide.rs\"";
+    assert!(check(good, DECISION).0, "{:?}", check(good, DECISION));
+    assert!(check(good, &"fn one() {}\n\n".repeat(399)).0);
+    let io = [
+        "std::fs::read(\"a\")",
+        "Instant::now()",
+        "println!(\"a\")",
+        "tokio::spawn(task)",
+        "std::env::var(\"A\")",
+    ];
+    for call in io {
+        let (passed, printed) = check(good, &format!("{DECISION}fn act() {{ {call}; }}\n"));
+        assert!(
+            !passed && printed.contains("does input or output"),
+            "{call}: {printed}"
+        );
+    }
+    assert!(!check(good, &"fn one() {}\n".repeat(400)).0);
+    assert!(!check(good, &format!("// {}\n", "a".repeat(108))).0);
+    assert!(!check("", DECISION).0);
+    assert!(!check("\"src/decide.rs\", \"src/other.rs\"", DECISION).0);
+    assert!(!check("\"src\"", DECISION).0);
+}
--- a/crates/node/tests/ci_verdict.rs
+++ b/crates/xtask/tests/verdict.rs
@@ -1,8 +1,8 @@
-//! CI's verdict on a run of the tests, with and without tests that are known to fail.
+//! The verdict on a run of the tests, with and without tests that are known to fail.
 
-use std::path::Path;
-use std::process::Command;
-use std::sync::atomic::{AtomicUsize, Ordering};
+mod support;
+
+use support::Folder;
 
 /// A test program as cargo announces it, and its tests.
 struct TestProgram {
@@ -102,27 +102,11 @@
 }
 
 fn verdict_on(listing: &str, output: &str, status: i32, known: Option<&str>) -> Verdict {
-    static NUMBER: AtomicUsize = AtomicUsize::new(0);
-    let number = NUMBER.fetch_add(1, Ordering::SeqCst);
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR"))
-        .join(format!("verdict-{}-{number}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    let file = |name: &str, text: &str| {
-        std::fs::write(folder.join(name), text).expect("a file");
-        folder.join(name)
-    };
-    let mut command = Command::new(Path::new(env!("CARGO_MANIFEST_DIR")).join("../../.ci/verdict"));
-    command
-        .arg(file("tests", listing))
-        .arg(file("output", output))
-        .arg(status.to_string());
-    command.arg(known.map_or(folder.join("none"), |known| file("known", known)));
-    let ended = command.output().expect("it runs");
-    std::fs::remove_dir_all(&folder).expect("its folder");
-    Verdict {
-        passed: ended.status.success(),
-        printed: String::from_utf8_lossy(&ended.stdout).into_owned(),
-    }
+    let mut files = vec![("tests", listing), ("output", output)];
+    files.extend(known.map(|known| ("known", known)));
+    let (passed, printed) =
+        Folder::new(&files).xtask(&["verdict", "tests", "output", &status.to_string(), "known"]);
+    Verdict { passed, printed }
 }
 
 #[test]
