--- /dev/null
+++ b/crates/xtask/src/circles.rs
@@ -0,0 +1,75 @@
+//! Circles of imports: no modules below a crate's `src` import one another in a circle. A module is
+//! a file. Test files are left out, and so is what a module takes from the modules within it.
+
+mod import_graph;
+mod imports;
+mod module_path;
+
+use crate::read_error::ReadError;
+use crate::source_tree::rust_files;
+use import_graph::ImportGraph;
+use module_path::ModulePath;
+use std::fmt;
+use std::fs;
+use std::path::{Path, PathBuf};
+use thiserror::Error;
+
+/// What is wrong with the imports of a crate.
+#[derive(Debug, Error)]
+pub enum CircleProblem {
+    /// The folder holds no crate, so that it is hardly the one that was meant.
+    #[error("no crate in {}", .0.display())]
+    NoCrates(PathBuf),
+    /// Modules import one another in a circle.
+    #[error("{}: {circle}", src.display())]
+    Circle { src: PathBuf, circle: Circle },
+}
+
+/// Modules that can all be reached from one another, with the imports between them.
+#[derive(Debug)]
+pub struct Circle {
+    modules: usize,
+    imports: Vec<(ModulePath, ModulePath)>,
+}
+
+impl fmt::Display for Circle {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "a circle of {} modules", self.modules)?;
+        for (importer, imported) in &self.imports {
+            write!(formatter, "\n  {importer} -> {imported}")?;
+        }
+        Ok(())
+    }
+}
+
+/// Returns the circles of the crates in a folder.
+pub fn check(crates: &Path) -> Result<Vec<CircleProblem>, ReadError> {
+    let folders = source_folders(crates)?;
+    if folders.is_empty() {
+        return Ok(vec![CircleProblem::NoCrates(crates.to_path_buf())]);
+    }
+    let mut problems = Vec::new();
+    for src in folders {
+        let files = rust_files(&src)?;
+        let graph = ImportGraph::new(files.iter().filter(|file| !file.is_test_file()));
+        let circles = graph.circles().into_iter();
+        problems.extend(circles.map(|circle| CircleProblem::Circle {
+            src: src.clone(),
+            circle,
+        }));
+    }
+    Ok(problems)
+}
+
+/// Returns the `src` folder of each crate in a folder, in the order of their names.
+fn source_folders(crates: &Path) -> Result<Vec<PathBuf>, ReadError> {
+    let mut folders = Vec::new();
+    for entry in fs::read_dir(crates).map_err(ReadError::at(crates))? {
+        let src = entry.map_err(ReadError::at(crates))?.path().join("src");
+        if src.is_dir() {
+            folders.push(src);
+        }
+    }
+    folders.sort();
+    Ok(folders)
+}
--- /dev/null
+++ b/crates/xtask/src/circles/import_graph.rs
@@ -0,0 +1,90 @@
+//! Which modules import which, and the circles among them.
+
+use super::Circle;
+use super::imports::paths_in;
+use super::module_path::ModulePath;
+use crate::source_tree::SourceFile;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// The modules of a crate, each with the modules that it imports from.
+pub struct ImportGraph {
+    imports: BTreeMap<ModulePath, BTreeSet<ModulePath>>,
+}
+
+impl ImportGraph {
+    /// Reads the imports of the files of a crate.
+    pub fn new<'a>(files: impl Iterator<Item = &'a SourceFile>) -> Self {
+        let named = files.map(|file| (ModulePath::of_file(&file.path), file.text.as_str()));
+        let sources: BTreeMap<ModulePath, &str> = named.collect();
+        let modules: BTreeSet<ModulePath> = sources.keys().cloned().collect();
+        let with_imports = sources.into_iter().map(|(module, text)| {
+            let imported = imported_modules(&module, text, &modules);
+            (module, imported)
+        });
+        ImportGraph {
+            imports: with_imports.collect(),
+        }
+    }
+
+    /// Returns the circles, each once.
+    pub fn circles(&self) -> Vec<Circle> {
+        let reachable: BTreeMap<&ModulePath, BTreeSet<&ModulePath>> = self
+            .imports
+            .keys()
+            .map(|module| (module, self.reachable_from(module)))
+            .collect();
+        let mut in_circles = BTreeSet::new();
+        let mut circles = Vec::new();
+        for (module, reached) in &reachable {
+            if !reached.contains(module) || in_circles.contains(module) {
+                continue;
+            }
+            let returns = |other: &&ModulePath| reachable[*other].contains(module);
+            let members: BTreeSet<&ModulePath> = reached.iter().copied().filter(returns).collect();
+            in_circles.extend(members.iter().copied());
+            circles.push(self.circle_of(&members));
+        }
+        circles
+    }
+
+    /// Returns the modules that can be reached from a module in one step or more.
+    fn reachable_from(&self, module: &ModulePath) -> BTreeSet<&ModulePath> {
+        let mut reached = BTreeSet::new();
+        let mut unvisited: Vec<&ModulePath> = self.imports[module].iter().collect();
+        while let Some(next) = unvisited.pop() {
+            if reached.insert(next) {
+                unvisited.extend(&self.imports[next]);
+            }
+        }
+        reached
+    }
+
+    fn circle_of(&self, members: &BTreeSet<&ModulePath>) -> Circle {
+        let mut imports = Vec::new();
+        for importer in members {
+            let inner = self.imports[*importer].iter();
+            let inner = inner.filter(|imported| members.contains(imported));
+            imports.extend(inner.map(|imported| ((*importer).clone(), imported.clone())));
+        }
+        Circle {
+            modules: members.len(),
+            imports,
+        }
+    }
+}
+
+/// Returns the other modules that a module takes something from. A path means the longest module
+/// that it lies in; the root and the modules within the importing one are left out.
+fn imported_modules(
+    module: &ModulePath,
+    text: &str,
+    modules: &BTreeSet<ModulePath>,
+) -> BTreeSet<ModulePath> {
+    let paths = paths_in(text);
+    let paths = paths.iter().filter_map(|path| module.resolve(path));
+    let imported =
+        paths.filter_map(|path| path.with_parents().find(|parent| modules.contains(parent)));
+    imported
+        .filter(|imported| !imported.is_within(module))
+        .collect()
+}
--- /dev/null
+++ b/crates/xtask/src/circles/imports.rs
@@ -0,0 +1,58 @@
+//! The paths that a source takes from its own crate.
+
+use regex::Regex;
+use std::sync::LazyLock;
+
+static COMMENT: LazyLock<Regex> = LazyLock::new(|| pattern(r"//[^\n]*"));
+static VISIBILITY: LazyLock<Regex> = LazyLock::new(|| pattern(r"\bpub\s*\([^)]*\)"));
+static USE_STATEMENT: LazyLock<Regex> = LazyLock::new(|| pattern(r"\buse\s+([^;]+);"));
+static CRATE_PATH: LazyLock<Regex> =
+    LazyLock::new(|| pattern(r"\b(?:crate|super)(?:\s*::\s*\w+)+"));
+
+fn pattern(text: &str) -> Regex {
+    Regex::new(text).expect("the pattern is well-formed")
+}
+
+/// Returns the paths of all `use` statements, one for each leaf of their braces, and the paths of
+/// expressions that begin with `crate` or `super`.
+pub fn paths_in(source: &str) -> Vec<String> {
+    let code = COMMENT.replace_all(source, "");
+    let code = VISIBILITY.replace_all(&code, "");
+    let mut paths = Vec::new();
+    for statement in USE_STATEMENT.captures_iter(&code) {
+        flatten("", &statement[1], &mut paths);
+    }
+    let expressions = USE_STATEMENT.replace_all(&code, "");
+    let crate_paths = CRATE_PATH.find_iter(&expressions);
+    paths.extend(crate_paths.map(|path| path.as_str().to_string()));
+    paths
+}
+
+/// Adds each path of a use tree such as `a::{b, c::{self, d as e}}`, without its new name.
+fn flatten(prefix: &str, tree: &str, paths: &mut Vec<String>) {
+    let tree = tree.trim();
+    let group = tree.strip_suffix('}').and_then(|tree| tree.split_once('{'));
+    if let Some((head, members)) = group {
+        let prefix = format!("{prefix}{}", head.trim());
+        for member in split_members(members) {
+            flatten(&prefix, member, paths);
+        }
+    } else if !tree.is_empty() {
+        let path = tree.split_once(" as ").map_or(tree, |(path, _)| path);
+        paths.push(format!("{prefix}{}", path.trim()));
+    }
+}
+
+/// Splits the members of a group at the commas that stand in no inner group.
+fn split_members(members: &str) -> Vec<&str> {
+    let mut depth = 0_usize;
+    let at_comma = |character: char| {
+        match character {
+            '{' => depth += 1,
+            '}' => depth = depth.saturating_sub(1),
+            _ => {}
+        }
+        character == ',' && depth == 0
+    };
+    members.split(at_comma).collect()
+}
--- a/crates/xtask/src/command_line.rs
+++ b/crates/xtask/src/command_line.rs
@@ -26,6 +26,12 @@
         /// The deploy file, whose files are named from the working directory
         deploy_file: PathBuf,
     },
+    /// Checks that no modules of a crate import one another in a circle
+    Circles {
+        /// The folder of the crates
+        #[arg(default_value = "crates")]
+        folder: PathBuf,
+    },
     /// Decides whether a run of the tests passes, with the failures that are known
     Verdict(TestRunFiles),
 }
@@ -36,6 +42,7 @@
         match self {
             Check::Sources { .. } => "sources",
             Check::Decisions { .. } => "decisions",
+            Check::Circles { .. } => "circles",
             Check::Verdict(_) => "verdict",
         }
     }
--- a/crates/xtask/src/main.rs
+++ b/crates/xtask/src/main.rs
@@ -2,6 +2,7 @@
 //! with 1 if there are any. All are run from the root of the repository; `.ci/run` runs all of
 //! them.
 
+mod circles;
 mod command_line;
 mod decisions;
 mod read_error;
@@ -35,6 +36,7 @@
     match check {
         Check::Sources { folder } => Ok(report(name, &sources::check(folder)?)),
         Check::Decisions { deploy_file } => Ok(report(name, &decisions::check(deploy_file)?)),
+        Check::Circles { folder } => Ok(report(name, &circles::check(folder)?)),
         Check::Verdict(files) => {
             let verdict = files.read()?.judge();
             verdict.notes.iter().for_each(|note| println!("{note}"));
