--- a/crates/xtask/src/command_line.rs
+++ b/crates/xtask/src/command_line.rs
@@ -32,6 +32,11 @@
         #[arg(default_value = "crates")]
         folder: PathBuf,
     },
+    /// Checks that the tests and Rust files that docs/*.md cite in backticks exist
+    Citations {
+        /// The file with what `cargo test -- --list` printed
+        tests: PathBuf,
+    },
     /// Decides whether a run of the tests passes, with the failures that are known
     Verdict(TestRunFiles),
 }
@@ -43,6 +48,7 @@
             Check::Sources { .. } => "sources",
             Check::Decisions { .. } => "decisions",
             Check::Circles { .. } => "circles",
+            Check::Citations { .. } => "citations",
             Check::Verdict(_) => "verdict",
         }
     }
--- a/crates/xtask/src/main.rs
+++ b/crates/xtask/src/main.rs
@@ -3,6 +3,7 @@
 //! them.
 
 mod circles;
+mod citations;
 mod command_line;
 mod decisions;
 mod read_error;
@@ -37,6 +38,7 @@
         Check::Sources { folder } => Ok(report(name, &sources::check(folder)?)),
         Check::Decisions { deploy_file } => Ok(report(name, &decisions::check(deploy_file)?)),
         Check::Circles { folder } => Ok(report(name, &circles::check(folder)?)),
+        Check::Citations { tests } => Ok(report(name, &citations::check(tests)?)),
         Check::Verdict(files) => {
             let verdict = files.read()?.judge();
             verdict.notes.iter().for_each(|note| println!("{note}"));
