--- a/crates/xtask/src/citations.rs
+++ b/crates/xtask/src/citations.rs
@@ -1,8 +1,8 @@
 //! Citations: the tests, functions and Rust files that the pages name in backticks exist.
 //!
-//! - A name of lower-case segments, such as `node::limits::NAME`, is that of a test, from any of its
-//! segments on. It may begin with `..` for segments that are left out. Its end may be `*` or
-//! nothing for all tests below, or abbreviated with `...`.
+//! - A name of lower-case segments, such as `node::limits::NAME`, is that of a test, from any of
+//!   its segments on. It may begin with `..` for segments that are left out. Its end may be `*` or
+//!   nothing for all tests below, or abbreviated with `...`.
 //! - A name that fits no test may be that of a function, with the module of its file before it.
 //! - A file, such as `pool/idle.rs`, is the end of the path of a Rust file.
 //!
