--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,9 +1,9 @@
-//! Plays many nodes on the simulator's wire protocol: one balancer for each instance. Batches come
+//! Plays many nodes on the simulator's wire protocol: one balancer for each node. Batches come
 //! on standard input, replies go to standard output. Knows nothing of how decisions are made.
 
 mod error;
-mod instance;
 mod session;
+mod simulated_node;
 mod wire;
 
 use error::AdapterError;
@@ -14,11 +14,11 @@
 /// Fits most batches, so that one is read in few calls.
 const INPUT_BUFFER_SIZE: usize = 1 << 16;
 
-/// Answers all batches of the input.
+/// Replies to all batches of the input.
 fn run(input: &mut impl Read, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut session = Session::default();
     while let Some(batch) = wire::read_batch(input)? {
-        let reply = session.answer(&batch)?;
+        let reply = session.handle_batch(&batch)?;
         output
             .write_all(&reply)
             .and_then(|()| output.flush())
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -1,24 +1,30 @@
-//! The instances of a simulation, and what they answer to a batch.
+//! The nodes of a simulation, and their replies to batches.
 
 use crate::error::{AdapterError, RecordError};
-use crate::instance::Instance;
-use crate::wire::{Batch, Input, Record, Reply};
+use crate::simulated_node::{DecisionPanic, SimulatedNode};
+use crate::wire::{Batch, Input, NodeId, Record, Reply};
+use ottertiller_balancer::Action;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The running instances, by their numbers on the wire.
+/// The running nodes.
 #[derive(Default)]
 pub struct Session {
-    instances: BTreeMap<u16, Instance>,
+    nodes: BTreeMap<NodeId, SimulatedNode>,
 }
 
 impl Session {
-    /// Plays the records of a batch in order, and returns the frame of the reply.
-    pub fn answer(&mut self, batch: &Batch) -> Result<Vec<u8>, AdapterError> {
+    /// Handles the records of a batch in their order, and returns the frame of the reply.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first record that cannot be decoded or starts a node with unusable settings.
+    pub fn handle_batch(&mut self, batch: &Batch) -> Result<Vec<u8>, AdapterError> {
         let mut reply = Reply::default();
         for (index, record) in batch.records().enumerate() {
-            let played = record.and_then(|record| self.play(batch.clock, record, &mut reply));
-            played.map_err(|cause| AdapterError::Record {
+            let handled =
+                record.and_then(|record| self.handle_record(batch.clock, record, &mut reply));
+            handled.map_err(|cause| AdapterError::Record {
                 batch: batch.number,
                 record: index,
                 cause,
@@ -27,39 +33,48 @@
         Ok(reply.into_frame(batch.number))
     }
 
-    fn play(
+    fn handle_record(
         &mut self,
         now: Duration,
         record: Record,
         reply: &mut Reply,
     ) -> Result<(), RecordError> {
-        let Record {
-            instance: number,
-            input,
-        } = record;
+        let Record { node, input } = record;
         match input {
             Input::Start { seed, settings } => {
-                self.instances
-                    .insert(number, Instance::start(&settings, seed)?);
+                let started = SimulatedNode::start(&settings, seed)?;
+                self.nodes.insert(node, started);
             }
             Input::Stop => {
-                self.instances.remove(&number);
+                self.nodes.remove(&node);
             }
             Input::PeerMessage => {}
             Input::Event { event, report } => {
-                // An event for an instance that has stopped is late, and has no effect.
-                let Some(instance) = self.instances.get_mut(&number) else {
+                // An event for a node that has stopped is late, and has no effect.
+                let Some(running) = self.nodes.get_mut(&node) else {
                     return Ok(());
                 };
-                match instance.handle(now, event, report) {
-                    Ok(actions) => actions.iter().for_each(|action| reply.push(number, action)),
-                    Err(panic) => {
-                        reply.push_fault(number, &panic.message);
-                        self.instances.remove(&number);
-                    }
-                }
+                let decided = running.handle(now, event, report);
+                self.add_decided(node, decided, reply);
             }
         }
         Ok(())
     }
+
+    /// Adds the actions of a node to the reply. A node whose decisions panicked is reported as
+    /// faulty, and stops.
+    fn add_decided(
+        &mut self,
+        node: NodeId,
+        decided: Result<Vec<Action>, DecisionPanic>,
+        reply: &mut Reply,
+    ) {
+        match decided {
+            Ok(actions) => actions.iter().for_each(|action| reply.push(node, action)),
+            Err(panic) => {
+                reply.push_fault(node, &panic.message);
+                self.nodes.remove(&node);
+            }
+        }
+    }
 }
--- a/crates/simulator-adapter/src/wire/codes.rs
+++ b/crates/simulator-adapter/src/wire/codes.rs
@@ -28,7 +28,7 @@
     SetTimer = 68,
     CancelAttempt = 69,
     Subscribe = 70,
-    /// The decisions of the instance panicked.
+    /// The decisions of the node panicked.
     Fault = 71,
     Shed = 75,
     StartAttempt = 76,
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -10,7 +10,7 @@
 mod reply;
 
 pub use batch::{Batch, read_batch};
-pub use record::{Input, RawLoadReport, Record};
+pub use record::{Input, NodeId, RawLoadReport, Record};
 pub use reply::Reply;
 
 #[cfg(test)]
--- a/crates/simulator-adapter/src/wire/record.rs
+++ b/crates/simulator-adapter/src/wire/record.rs
@@ -16,11 +16,15 @@
 /// How many values a load report has at most.
 const REPORT_VALUES: usize = 4;
 
+/// The number of a node in the simulation.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct NodeId(pub u16);
+
 /// A record of a batch.
 #[derive(Debug, PartialEq)]
 pub struct Record {
-    /// The instance that it is for.
-    pub instance: u16,
+    /// The node that it is for.
+    pub node: NodeId,
     /// What it says.
     pub input: Input,
 }
@@ -28,13 +32,13 @@
 /// What a record says.
 #[derive(Debug, PartialEq)]
 pub enum Input {
-    /// The instance starts, with a seed and the text of its settings.
+    /// The node starts, with a seed and the text of its settings.
     Start { seed: u64, settings: Vec<u8> },
-    /// The instance has been killed.
+    /// The node has been killed.
     Stop,
-    /// A message from another instance, which no decision uses.
+    /// A message from another node, which no decision uses.
     PeerMessage,
-    /// Something for its decisions. The report, if any, still needs the columns of the instance.
+    /// An event for the balancer. The report, if any, still needs the columns of the node.
     Event {
         event: Event,
         report: Option<RawLoadReport>,
@@ -49,7 +53,7 @@
 }
 
 impl RawLoadReport {
-    /// Gives the values the names of the instance's columns.
+    /// Returns the report with the values in the fields that the node's columns name.
     pub fn named(&self, columns: &[Column]) -> LoadReport {
         let mut report = LoadReport::default();
         for (column, value) in columns.iter().zip(&self.values[..self.count]) {
@@ -73,9 +77,9 @@
     pub fn decode(record: &[u8], tail: &[u8]) -> Result<Self, RecordError> {
         let mut fields = FieldReader::new(record);
         let code = fields.u8();
-        let instance = fields.u16();
+        let node = NodeId(fields.u16());
         let input = Input::decode(EventCode::try_from(code)?, &mut fields, tail)?;
-        Ok(Record { instance, input })
+        Ok(Record { node, input })
     }
 }
 
@@ -96,7 +100,7 @@
                 id: RequestId(fields.u64()),
             })),
             EventCode::Timer => Ok(Input::without_report(Event::Timer(timer(fields.u64())))),
-            EventCode::HealthCheckEnded => health_checked(fields),
+            EventCode::HealthCheckEnded => health_check_ended(fields),
             EventCode::PeerMessage => {
                 fields.skip::<4>(); // the sender
                 slice_of_tail("peer message", fields, tail, 1)?;
@@ -194,7 +198,7 @@
     })
 }
 
-fn health_checked(fields: &mut FieldReader) -> Result<Input, RecordError> {
+fn health_check_ended(fields: &mut FieldReader) -> Result<Input, RecordError> {
     let end = HealthCheckEnd {
         endpoint: fields.endpoint(),
         outcome: outcome(fields.u8())?,
--- a/crates/simulator-adapter/src/wire/reply.rs
+++ b/crates/simulator-adapter/src/wire/reply.rs
@@ -1,5 +1,6 @@
 //! Encoding replies.
 
+use super::NodeId;
 use super::codes::{ActionCode, timer_token};
 use super::layout::{ACTION_SIZE, REPLY_HEADER_SIZE};
 use ottertiller_balancer::{Action, EndpointId};
@@ -14,27 +15,27 @@
 }
 
 impl Reply {
-    /// Adds an action of an instance.
-    pub fn push(&mut self, instance: u16, action: &Action) {
+    /// Adds an action of a node.
+    pub fn push(&mut self, node: NodeId, action: &Action) {
         match action {
-            Action::Fail { id } => self.record(ActionCode::Fail, instance).u64(id.0),
+            Action::Fail { id } => self.record(ActionCode::Fail, node).u64(id.0),
             Action::HealthCheck { endpoint } => self
-                .record(ActionCode::HealthCheck, instance)
+                .record(ActionCode::HealthCheck, node)
                 .endpoint(*endpoint),
             Action::SetTimer { after, timer } => self
-                .record(ActionCode::SetTimer, instance)
+                .record(ActionCode::SetTimer, node)
                 .millis(*after)
                 .u64(timer_token(*timer)),
             Action::CancelAttempt { id, attempt } => self
-                .record(ActionCode::CancelAttempt, instance)
+                .record(ActionCode::CancelAttempt, node)
                 .u64(id.0)
                 .u8(*attempt as u8),
             Action::Subscribe { enabled } => self
-                .record(ActionCode::Subscribe, instance)
+                .record(ActionCode::Subscribe, node)
                 .u8((*enabled).into()),
             Action::Shed { id, retry_after } => {
                 let retry_after = retry_after.unwrap_or_default();
-                self.record(ActionCode::Shed, instance)
+                self.record(ActionCode::Shed, node)
                     .u64(id.0)
                     .millis(retry_after)
             }
@@ -43,16 +44,16 @@
                 endpoint,
                 timeout,
             } => {
-                let record = self.record(ActionCode::StartAttempt, instance);
+                let record = self.record(ActionCode::StartAttempt, node);
                 record.u64(id.0).endpoint(*endpoint).millis(*timeout)
             }
         };
         self.close_record();
     }
 
-    /// Reports that the decisions of an instance panicked.
-    pub fn push_fault(&mut self, instance: u16, message: &str) {
-        self.record(ActionCode::Fault, instance)
+    /// Reports that the decisions of a node panicked.
+    pub fn push_fault(&mut self, node: NodeId, message: &str) {
+        self.record(ActionCode::Fault, node)
             .in_tail(message.as_bytes());
         self.close_record();
     }
@@ -69,8 +70,8 @@
         frame
     }
 
-    fn record(&mut self, code: ActionCode, instance: u16) -> &mut Self {
-        self.u8(code as u8).u16(instance)
+    fn record(&mut self, code: ActionCode, node: NodeId) -> &mut Self {
+        self.u8(code as u8).u16(node.0)
     }
 
     fn close_record(&mut self) {
--- a/crates/simulator-adapter/src/wire/tests.rs
+++ b/crates/simulator-adapter/src/wire/tests.rs
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_batch_of_two_instances_is_decoded() {
+fn a_batch_of_two_nodes_is_decoded() {
     let records = [
         padded(
             "03 0003 000fb0475d3a91c4 0000 0000 91f03b7c55d20a64 406e000000000000 4028000000000000 01",
@@ -116,15 +116,15 @@
         read(&frame).expect("legal"),
         [
             Record {
-                instance: 3,
+                node: NodeId(3),
                 input: without_report(Event::Request(request))
             },
             Record {
-                instance: 3,
+                node: NodeId(3),
                 input: without_report(Event::Timer(Timer::Request(RequestId(0x4d))))
             },
             Record {
-                instance: 5,
+                node: NodeId(5),
                 input: without_report(disconnected)
             },
         ]
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn a_health_check_brings_its_report_under_the_names_of_the_columns() {
+fn a_load_report_is_named_by_the_columns_of_its_node() {
     let input = read_input(
         "08 0001 0a124a07 1b5b 01 3ff0000000000000 03 40400000 3f800000 3f000000",
         "",
@@ -213,7 +213,13 @@
         seed: 9,
         settings: b"{}".to_vec(),
     };
-    assert_eq!(record, Record { instance: 7, input });
+    assert_eq!(
+        record,
+        Record {
+            node: NodeId(7),
+            input
+        }
+    );
     assert_eq!(read_input("0a 0007", ""), Input::Stop);
     let input = read_input(
         "04 0001 0000000000000005 4000000000000000 02 00000000 0007",
@@ -311,7 +317,7 @@
     assert_eq!((new.class, new.tenant, new.cost_hint), (1, 2, None));
     let mut reply = Reply::default();
     reply.push(
-        3,
+        NodeId(3),
         &Action::StartAttempt {
             id: new.id,
             endpoint: entries[0].id,
--- a/crates/simulator-adapter/src/wire/tests/replies.rs
+++ b/crates/simulator-adapter/src/wire/tests/replies.rs
@@ -1,8 +1,8 @@
 //! What is written for actions, in hexadecimal.
 
 use super::{hex, ms, padded};
-use crate::wire::Reply;
 use crate::wire::layout::ACTION_SIZE;
+use crate::wire::{NodeId, Reply};
 use ottertiller_balancer::{Action, EndpointId, RequestId, Timer};
 
 #[test]
@@ -10,7 +10,7 @@
     let mut reply = Reply::default();
     let endpoint = EndpointId(0x0a12_4a07_1b5b);
     reply.push(
-        3,
+        NodeId(3),
         &Action::StartAttempt {
             id: RequestId(0x000f_b047_5d3a_91c4),
             endpoint,
@@ -18,13 +18,13 @@
         },
     );
     reply.push(
-        3,
+        NodeId(3),
         &Action::SetTimer {
             after: ms(500.0),
             timer: Timer::Request(RequestId(0x4d)),
         },
     );
-    reply.push_fault(5, "two servers known");
+    reply.push_fault(NodeId(5), "two servers known");
     let mut expected = hex("0000000c 00000071 00000003");
     expected.extend(padded(
         "4c 0003 000fb0475d3a91c4 0a124a07 1b5b 4054000000000000",
@@ -67,12 +67,12 @@
     ];
     for (action, record) in cases {
         let mut reply = Reply::default();
-        reply.push(3, &action);
+        reply.push(NodeId(3), &action);
         let expected = padded(record, ACTION_SIZE);
         assert_eq!(reply.into_frame(1)[12..], expected, "{action:?}");
     }
     let mut reply = Reply::default();
-    reply.push_fault(3, "hi");
+    reply.push_fault(NodeId(3), "hi");
     assert_eq!(
         reply.into_frame(1)[12..],
         [
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -49,9 +49,9 @@
         }
     }
 
-    fn record(mut self, code: u8, instance: u16, fields: &[&[u8]]) -> Self {
+    fn record(mut self, code: u8, node: u16, fields: &[&[u8]]) -> Self {
         let mut record = vec![code];
-        record.extend(instance.to_be_bytes());
+        record.extend(node.to_be_bytes());
         fields.iter().for_each(|field| record.extend(*field));
         record.resize(EVENT_SIZE, 0);
         self.records.extend(record);
@@ -60,12 +60,12 @@
     }
 
     /// A start, with its settings at the end of the tail so far.
-    fn start(mut self, instance: u16, settings: &[u8]) -> Self {
+    fn start(mut self, node: u16, settings: &[u8]) -> Self {
         let at = (self.tail.len() as u32).to_be_bytes();
         self.tail.extend(settings);
         self.record(
             START,
-            instance,
+            node,
             &[
                 &9u64.to_be_bytes(),
                 &at,
@@ -75,7 +75,7 @@
     }
 
     /// A snapshot of so many ready endpoints.
-    fn list(mut self, instance: u16, endpoints: u16) -> Self {
+    fn list(mut self, node: u16, endpoints: u16) -> Self {
         let at = (self.tail.len() as u32).to_be_bytes();
         for number in 0..endpoints {
             let mut entry = vec![10, 0, 0, 1];
@@ -86,7 +86,7 @@
         }
         self.record(
             ENDPOINT_LIST,
-            instance,
+            node,
             &[
                 &[1],
                 &1u32.to_be_bytes(),
@@ -96,13 +96,9 @@
         )
     }
 
-    fn request(self, instance: u16, id: u64) -> Self {
+    fn request(self, node: u16, id: u64) -> Self {
         let remaining = 900f64.to_be_bytes();
-        self.record(
-            REQUEST,
-            instance,
-            &[&id.to_be_bytes(), &[0; 12], &remaining],
-        )
+        self.record(REQUEST, node, &[&id.to_be_bytes(), &[0; 12], &remaining])
     }
 
     fn frame(self, number: u32) -> Vec<u8> {
@@ -135,7 +131,7 @@
 }
 
 #[test]
-fn instances_run_side_by_side_restart_in_a_batch_and_end_with_the_input() {
+fn nodes_run_side_by_side_restart_and_end_with_the_input() {
     let settings = SETTINGS.as_bytes();
     let first = Batch::new()
         .start(1, settings)
@@ -144,7 +140,7 @@
         .list(2, 2)
         .frame(1);
     let requests = Batch::new().request(1, 5).request(2, 6).frame(2);
-    // Instance 1 restarts in one batch; what comes for instance 2 after its stop is late.
+    // Node 1 restarts in one batch; what comes for node 2 after its stop is late.
     let restart = Batch::new()
         .record(STOP, 1, &[])
         .start(1, settings)
--- a/crates/xtask/tests/decisions.rs
+++ b/crates/xtask/tests/decisions.rs
@@ -5,7 +5,7 @@
 use support::Folder;
 
 #[test]
-fn decisions_are_files_that_exist_do_no_input_or_output_and_are_not_long() {
+fn decisions_are_existing_short_files_without_input_or_output() {
     const DECISION: &str =
         "use std::time::Duration;\n\nfn decide(now: Duration) -> bool {\n    now.is_zero()\n}\n";
     let check = |policy: &str, text: &str| {
--- a/crates/xtask/tests/verdict.rs
+++ b/crates/xtask/tests/verdict.rs
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn tests_of_the_same_path_and_name_in_two_packages_are_told_apart() {
+fn same_test_names_in_two_packages_are_told_apart() {
     let (node, adapter) = (
         "ottertiller/src/main.rs::quick",
         "ottertiller_simulator_adapter/src/main.rs::quick",
