--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,29 +1,46 @@
 //! What ends the adapter: input and output that fail, and input that breaks the protocol.
+//!
+//! The text of an error says what its own layer knows. [`ErrorChain`] adds what its sources say.
 
 use crate::wire::layout::BATCH_HEADER_SIZE;
 use ottertiller_balancer::SettingsError;
+use std::error::Error;
+use std::fmt;
 use std::io;
 use thiserror::Error;
 
 /// Why the adapter stopped.
 #[derive(Debug, Error)]
 pub enum AdapterError {
-    #[error("cannot read: {0}")]
+    /// Standard input cannot be read.
+    #[error("cannot read")]
     Read(#[source] io::Error),
-    #[error("cannot write: {0}")]
+    /// Standard output cannot be written.
+    #[error("cannot write")]
     Write(#[source] io::Error),
+    /// The input ended within the header of a batch.
     #[error("batch header: {received} of {BATCH_HEADER_SIZE} bytes")]
-    TruncatedHeader { received: usize },
-    #[error("batch {batch}: {cause}")]
+    TruncatedHeader {
+        /// The bytes of the header that came.
+        received: usize,
+    },
+    /// A batch as a whole breaks the protocol.
+    #[error("batch {batch}")]
     Batch {
+        /// The number in the batch's header.
         batch: u32,
+        /// What is wrong with it.
         #[source]
         cause: BatchError,
     },
-    #[error("batch {batch}: record {record}: {cause}")]
+    /// A record of a batch breaks the protocol.
+    #[error("batch {batch}: record {record}")]
     Record {
+        /// The number in the batch's header.
         batch: u32,
+        /// The index of the record in its batch, from 0.
         record: usize,
+        /// What is wrong with it.
         #[source]
         cause: RecordError,
     },
@@ -32,10 +49,23 @@
 /// What is wrong with a batch as a whole.
 #[derive(Debug, PartialEq, Error)]
 pub enum BatchError {
+    /// The input ended within the batch.
     #[error("{received} of {length} bytes")]
-    Truncated { received: usize, length: usize },
+    Truncated {
+        /// The bytes that came after the header.
+        received: usize,
+        /// The bytes that the header claims.
+        length: usize,
+    },
+    /// The records that the header claims are longer than the batch.
     #[error("{count} records do not fit in {length} bytes")]
-    TooManyRecords { count: usize, length: usize },
+    TooManyRecords {
+        /// The records that the header claims.
+        count: usize,
+        /// The bytes that the header claims.
+        length: usize,
+    },
+    /// The clock is infinite or not a number.
     #[error("the clock is no number")]
     ClockNotFinite,
 }
@@ -43,24 +73,71 @@
 /// What is wrong with a record.
 #[derive(Debug, Error)]
 pub enum RecordError {
+    /// The protocol has no event of this code.
     #[error("unknown event code {0}")]
     UnknownEventCode(u8),
+    /// The protocol has no kind of endpoint list of this code.
     #[error("unknown list kind {0}")]
     UnknownListKind(u8),
+    /// The protocol has no outcome of this code.
     #[error("unknown outcome {0}")]
     UnknownOutcome(u8),
+    /// The protocol has no endpoint state of this code.
     #[error("unknown endpoint state {0}")]
     UnknownEndpointState(u8),
+    /// A load report has more values than a record has room for.
     #[error("a load report of {0} values")]
     TooManyReportValues(usize),
+    /// A field points to bytes outside the tail of its batch.
     #[error("{field}: points to {count} x {size} bytes at {start} of a tail of {tail}")]
     OutsideTail {
+        /// What the field points to.
         field: &'static str,
+        /// The offset of the first byte in the tail.
         start: usize,
+        /// The number of elements.
         count: usize,
+        /// The bytes of an element.
         size: usize,
+        /// The bytes of the tail.
         tail: usize,
     },
+    /// The record or the list entry ends before a field.
+    #[error(transparent)]
+    Truncated(#[from] FieldError),
+    /// A node's settings cannot be used. The text of the error has that of its sources already, so
+    /// it is none itself.
     #[error("{0}")]
-    Settings(#[from] SettingsError),
+    Settings(SettingsError),
+}
+
+impl From<SettingsError> for RecordError {
+    fn from(error: SettingsError) -> Self {
+        RecordError::Settings(error)
+    }
+}
+
+/// A field that the bytes end before or within.
+#[derive(Debug, PartialEq, Error)]
+#[error("a field of {size} bytes where {rest} are left")]
+pub struct FieldError {
+    /// The bytes of the field.
+    pub size: usize,
+    /// The bytes that are left.
+    pub rest: usize,
+}
+
+/// An error with all its sources, in one line.
+pub struct ErrorChain<'a>(pub &'a dyn Error);
+
+impl fmt::Display for ErrorChain<'_> {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "{}", self.0)?;
+        let mut source = self.0.source();
+        while let Some(error) = source {
+            write!(formatter, ": {error}")?;
+            source = error.source();
+        }
+        Ok(())
+    }
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -6,15 +6,15 @@
 mod simulated_node;
 mod wire;
 
-use error::AdapterError;
+use error::{AdapterError, ErrorChain};
 use session::Session;
 use std::io::{self, BufReader, Read, Write};
 use std::process::ExitCode;
 
-/// Fits most batches, so that one is read in few calls.
+/// The bytes of the input buffer. Most batches fit, so that one is read in few system calls.
 const INPUT_BUFFER_SIZE: usize = 1 << 16;
 
-/// Replies to all batches of the input.
+/// Reads batches until the input ends, and writes a reply to each.
 fn run(input: &mut impl Read, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut session = Session::default();
     while let Some(batch) = wire::read_batch(input)? {
@@ -32,7 +32,7 @@
     match run(&mut input, &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("ottertiller-simulator-adapter: {error}");
+            eprintln!("ottertiller-simulator-adapter: {}", ErrorChain(&error));
             ExitCode::FAILURE
         }
     }
--- a/crates/simulator-adapter/src/wire/batch.rs
+++ b/crates/simulator-adapter/src/wire/batch.rs
@@ -3,12 +3,12 @@
 use super::fields::FieldReader;
 use super::layout::{BATCH_HEADER_SIZE, EVENT_SIZE};
 use super::record::Record;
-use crate::error::{AdapterError, BatchError, RecordError};
+use crate::error::{AdapterError, BatchError, FieldError, RecordError};
 use ottertiller_balancer::settings::millis;
 use std::io::Read;
 use std::time::Duration;
 
-/// A batch as it came in.
+/// A batch of records.
 #[derive(Debug)]
 pub struct Batch {
     /// The number that the reply repeats.
@@ -20,52 +20,88 @@
     body: Vec<u8>,
 }
 
-/// Reads one batch; `None` at the end of the input.
-pub fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, AdapterError> {
-    let header = read_up_to(input, BATCH_HEADER_SIZE)?;
-    if header.is_empty() {
-        return Ok(None);
+/// The header of a batch.
+struct BatchHeader {
+    number: u32,
+    record_count: usize,
+    /// The bytes of all that follows the header.
+    body_length: usize,
+    /// The simulator's clock in milliseconds.
+    clock: f64,
+}
+
+impl BatchHeader {
+    fn decode(bytes: &[u8]) -> Result<Self, FieldError> {
+        let mut fields = FieldReader::new(bytes);
+        Ok(BatchHeader {
+            number: fields.u32()?,
+            record_count: fields.size()?,
+            body_length: fields.size()?,
+            clock: fields.f64()?,
+        })
     }
-    if header.len() < BATCH_HEADER_SIZE {
-        return Err(AdapterError::TruncatedHeader {
-            received: header.len(),
-        });
+
+    /// Reads all that follows the header.
+    fn read_body(&self, input: &mut impl Read) -> Result<Vec<u8>, AdapterError> {
+        let body = read_up_to(input, self.body_length)?;
+        if body.len() < self.body_length {
+            return Err(self.error(BatchError::Truncated {
+                received: body.len(),
+                length: self.body_length,
+            }));
+        }
+        Ok(body)
     }
-    let mut fields = FieldReader::new(&header);
-    let number = fields.u32();
-    let count = fields.u32() as usize;
-    let length = fields.u32() as usize;
-    let clock = fields.f64();
-    let failed = |cause| AdapterError::Batch {
-        batch: number,
-        cause,
-    };
-    if !clock.is_finite() {
-        return Err(failed(BatchError::ClockNotFinite));
+
+    /// Requires that the records fit in the body.
+    fn check_record_count(&self) -> Result<(), AdapterError> {
+        let length = self.record_count.checked_mul(EVENT_SIZE);
+        if length.is_none_or(|length| length > self.body_length) {
+            return Err(self.error(BatchError::TooManyRecords {
+                count: self.record_count,
+                length: self.body_length,
+            }));
+        }
+        Ok(())
     }
-    let body = read_up_to(input, length)?;
-    if body.len() < length {
-        return Err(failed(BatchError::Truncated {
-            received: body.len(),
-            length,
-        }));
+
+    fn error(&self, cause: BatchError) -> AdapterError {
+        AdapterError::Batch {
+            batch: self.number,
+            cause,
+        }
+    }
+}
+
+/// Reads one batch; returns `None` at the end of the input.
+///
+/// # Errors
+///
+/// Returns an error if the input cannot be read, ends within the batch, or has a header that
+/// breaks the protocol.
+pub fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, AdapterError> {
+    let bytes = read_up_to(input, BATCH_HEADER_SIZE)?;
+    if bytes.is_empty() {
+        return Ok(None);
     }
-    if count
-        .checked_mul(EVENT_SIZE)
-        .is_none_or(|records| records > length)
-    {
-        return Err(failed(BatchError::TooManyRecords { count, length }));
+    let header = BatchHeader::decode(&bytes).map_err(|_| AdapterError::TruncatedHeader {
+        received: bytes.len(),
+    })?;
+    if !header.clock.is_finite() {
+        return Err(header.error(BatchError::ClockNotFinite));
     }
+    let body = header.read_body(input)?;
+    header.check_record_count()?;
     Ok(Some(Batch {
-        number,
-        clock: millis(clock),
-        record_count: count,
+        number: header.number,
+        clock: millis(header.clock),
+        record_count: header.record_count,
         body,
     }))
 }
 
-/// Reads so many bytes, or less at the end of the input. The length is only a claim: memory grows
-/// with what has really arrived.
+/// Reads `length` bytes, or fewer if the input ends. The length is only a claim, so memory grows
+/// with what arrives.
 fn read_up_to(input: &mut impl Read, length: usize) -> Result<Vec<u8>, AdapterError> {
     let mut bytes = Vec::new();
     input
@@ -77,7 +113,7 @@
 }
 
 impl Batch {
-    /// The records in order.
+    /// Decodes the records in their order.
     pub fn records(&self) -> impl Iterator<Item = Result<Record, RecordError>> + '_ {
         let (records, tail) = self.body.split_at(self.record_count * EVENT_SIZE);
         records
--- a/crates/simulator-adapter/src/wire/fields.rs
+++ b/crates/simulator-adapter/src/wire/fields.rs
@@ -1,73 +1,81 @@
 //! Reading the fields of a record, one after the other.
 
+use crate::error::FieldError;
 use ottertiller_balancer::EndpointId;
 use ottertiller_balancer::settings::millis;
 use std::time::Duration;
 
-/// Reads big-endian fields from bytes that are known to hold them.
+/// Reads big-endian fields from bytes.
+///
+/// Each method returns the next field, or a [`FieldError`] if the bytes end before its last one.
 pub struct FieldReader<'a> {
     rest: &'a [u8],
 }
 
 impl<'a> FieldReader<'a> {
-    /// Reads from the first byte on.
+    /// Creates a reader that begins at the first byte.
     pub fn new(bytes: &'a [u8]) -> Self {
         FieldReader { rest: bytes }
     }
 
-    fn bytes<const N: usize>(&mut self) -> [u8; N] {
-        let (field, rest) = self
-            .rest
-            .split_first_chunk()
-            .expect("a record holds all its fields");
+    fn bytes<const N: usize>(&mut self) -> Result<[u8; N], FieldError> {
+        let (field, rest) = self.rest.split_first_chunk().ok_or(FieldError {
+            size: N,
+            rest: self.rest.len(),
+        })?;
         self.rest = rest;
-        *field
+        Ok(*field)
     }
 
-    /// Passes over a field that the adapter has no use for.
-    pub fn skip<const N: usize>(&mut self) {
-        self.bytes::<N>();
+    /// Skips a field of `N` bytes.
+    pub fn skip<const N: usize>(&mut self) -> Result<(), FieldError> {
+        self.bytes::<N>().map(|_| ())
     }
 
-    /// The next unsigned integer of 8 bits.
-    pub fn u8(&mut self) -> u8 {
-        u8::from_be_bytes(self.bytes())
+    /// Reads an unsigned integer of 8 bits.
+    pub fn u8(&mut self) -> Result<u8, FieldError> {
+        self.bytes().map(u8::from_be_bytes)
     }
 
-    /// The next unsigned integer of 16 bits.
-    pub fn u16(&mut self) -> u16 {
-        u16::from_be_bytes(self.bytes())
+    /// Reads an unsigned integer of 16 bits.
+    pub fn u16(&mut self) -> Result<u16, FieldError> {
+        self.bytes().map(u16::from_be_bytes)
     }
 
-    /// The next unsigned integer of 32 bits.
-    pub fn u32(&mut self) -> u32 {
-        u32::from_be_bytes(self.bytes())
+    /// Reads an unsigned integer of 32 bits.
+    pub fn u32(&mut self) -> Result<u32, FieldError> {
+        self.bytes().map(u32::from_be_bytes)
     }
 
-    /// The next unsigned integer of 64 bits.
-    pub fn u64(&mut self) -> u64 {
-        u64::from_be_bytes(self.bytes())
+    /// Reads an unsigned integer of 64 bits.
+    pub fn u64(&mut self) -> Result<u64, FieldError> {
+        self.bytes().map(u64::from_be_bytes)
     }
 
-    /// The next number of single precision.
-    pub fn f32(&mut self) -> f32 {
-        f32::from_be_bytes(self.bytes())
+    /// Reads a number of single precision.
+    pub fn f32(&mut self) -> Result<f32, FieldError> {
+        self.bytes().map(f32::from_be_bytes)
     }
 
-    /// The next number of double precision.
-    pub fn f64(&mut self) -> f64 {
-        f64::from_be_bytes(self.bytes())
+    /// Reads a number of double precision.
+    pub fn f64(&mut self) -> Result<f64, FieldError> {
+        self.bytes().map(f64::from_be_bytes)
     }
 
-    /// A time in milliseconds.
-    pub fn millis(&mut self) -> Duration {
-        millis(self.f64())
+    /// Reads an offset or a count of 32 bits.
+    pub fn size(&mut self) -> Result<usize, FieldError> {
+        Ok(self.u32()? as usize)
     }
 
-    /// Four bytes of address and a port, kept together as one number.
-    pub fn endpoint(&mut self) -> EndpointId {
-        let address = u64::from(self.u32());
-        let port = u64::from(self.u16());
-        EndpointId(address << 16 | port)
+    /// Reads a time in milliseconds.
+    pub fn millis(&mut self) -> Result<Duration, FieldError> {
+        self.f64().map(millis)
+    }
+
+    /// Reads an endpoint: four bytes of address and two of port, kept together as one number.
+    pub fn endpoint(&mut self) -> Result<EndpointId, FieldError> {
+        let address = u64::from(self.u32()?);
+        let port = u64::from(self.u16()?);
+        Ok(EndpointId(address << 16 | port))
     }
 }
--- a/crates/simulator-adapter/src/wire/layout.rs
+++ b/crates/simulator-adapter/src/wire/layout.rs
@@ -1,8 +1,10 @@
 //! The sizes of what is on the wire, in bytes.
 
-/// Number, count of records, length of all that follows, clock.
+/// The header of a batch: its number, the count of its records, the length of all that follows, and
+/// the clock.
 pub const BATCH_HEADER_SIZE: usize = 20;
-/// Number, length of all that follows, count of records.
+/// The header of a reply: the batch's number, the length of all that follows, and the count of its
+/// records.
 pub const REPLY_HEADER_SIZE: usize = 12;
 /// A record of a batch.
 pub const EVENT_SIZE: usize = 48;
--- a/crates/simulator-adapter/src/wire/record.rs
+++ b/crates/simulator-adapter/src/wire/record.rs
@@ -3,17 +3,18 @@
 use super::codes::{EventCode, endpoint_state, list_kind, outcome, timer};
 use super::fields::FieldReader;
 use super::layout::ENTRY_SIZE;
-use crate::error::RecordError;
+use crate::error::{FieldError, RecordError};
 use ottertiller_balancer::settings::{Column, millis};
 use ottertiller_balancer::{
     AttemptEnd, EndpointEntry, Event, HealthCheckEnd, LoadReport, NewRequest, RequestId,
 };
 
-/// Flags of a request.
+/// The flag of a request with a cost hint.
 const HAS_COST_HINT: u8 = 1;
+/// The flag of a request that its client sends again.
 const IS_CLIENT_RETRY: u8 = 2;
 
-/// How many values a load report has at most.
+/// The values that a load report has at most.
 const REPORT_VALUES: usize = 4;
 
 /// The number of a node in the simulation.
@@ -32,15 +33,22 @@
 /// What a record says.
 #[derive(Debug, PartialEq)]
 pub enum Input {
-    /// The node starts, with a seed and the text of its settings.
-    Start { seed: u64, settings: Vec<u8> },
+    /// The node starts.
+    Start {
+        /// The seed of its random numbers.
+        seed: u64,
+        /// The text of its settings file.
+        settings: Vec<u8>,
+    },
     /// The node has been killed.
     Stop,
     /// A message from another node, which no decision uses.
     PeerMessage,
     /// An event for the balancer. The report, if any, still needs the columns of the node.
     Event {
+        /// The event, without its load report.
         event: Event,
+        /// The load report of an attempt or a health check.
         report: Option<RawLoadReport>,
     },
 }
@@ -63,21 +71,28 @@
     }
 
     fn decode(fields: &mut FieldReader) -> Result<Option<Self>, RecordError> {
-        let count = usize::from(fields.u8());
+        let count = usize::from(fields.u8()?);
         if count > REPORT_VALUES {
             return Err(RecordError::TooManyReportValues(count));
         }
-        let values = std::array::from_fn(|_| fields.f32());
+        let mut values = [0.0; REPORT_VALUES];
+        for value in &mut values {
+            *value = fields.f32()?;
+        }
         Ok((count > 0).then_some(RawLoadReport { values, count }))
     }
 }
 
 impl Record {
     /// Decodes a record, which may point into the tail of its batch.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the record breaks the protocol.
     pub fn decode(record: &[u8], tail: &[u8]) -> Result<Self, RecordError> {
         let mut fields = FieldReader::new(record);
-        let code = fields.u8();
-        let node = NodeId(fields.u16());
+        let code = fields.u8()?;
+        let node = NodeId(fields.u16()?);
         let input = Input::decode(EventCode::try_from(code)?, &mut fields, tail)?;
         Ok(Record { node, input })
     }
@@ -87,22 +102,22 @@
     fn decode(code: EventCode, fields: &mut FieldReader, tail: &[u8]) -> Result<Self, RecordError> {
         match code {
             EventCode::Start => {
-                let seed = fields.u64();
+                let seed = fields.u64()?;
                 let settings = bytes_in_tail("settings", fields, tail)?;
                 Ok(Input::Start { seed, settings })
             }
             EventCode::Stop => Ok(Input::Stop),
             EventCode::EndpointList => endpoint_list(fields, tail).map(Input::without_report),
-            EventCode::Request => Ok(Input::without_report(request(fields))),
-            EventCode::StreamStarted => Ok(Input::without_report(stream_started(fields))),
+            EventCode::Request => Ok(Input::without_report(request(fields)?)),
+            EventCode::StreamStarted => Ok(Input::without_report(stream_started(fields)?)),
             EventCode::AttemptEnded => attempt_ended(fields),
             EventCode::ClientDisconnected => Ok(Input::without_report(Event::ClientDisconnected {
-                id: RequestId(fields.u64()),
+                id: RequestId(fields.u64()?),
             })),
-            EventCode::Timer => Ok(Input::without_report(Event::Timer(timer(fields.u64())))),
+            EventCode::Timer => Ok(Input::without_report(Event::Timer(timer(fields.u64()?)))),
             EventCode::HealthCheckEnded => health_check_ended(fields),
             EventCode::PeerMessage => {
-                fields.skip::<4>(); // the sender
+                fields.skip::<4>()?; // the sender
                 slice_of_tail("peer message", fields, tail, 1)?;
                 Ok(Input::PeerMessage)
             }
@@ -118,8 +133,8 @@
 }
 
 fn endpoint_list(fields: &mut FieldReader, tail: &[u8]) -> Result<Event, RecordError> {
-    let kind = list_kind(fields.u8())?;
-    fields.skip::<4>(); // not needed for any decision
+    let kind = list_kind(fields.u8()?)?;
+    fields.skip::<4>()?; // not needed for any decision
     let entries = slice_of_tail("endpoint entries", fields, tail, ENTRY_SIZE)?;
     let entries = entries
         .chunks_exact(ENTRY_SIZE)
@@ -130,14 +145,14 @@
 
 fn endpoint_entry(entry: &[u8]) -> Result<EndpointEntry, RecordError> {
     let mut fields = FieldReader::new(entry);
-    let id = fields.endpoint();
-    let zone = fields.u8();
-    let machine_type = fields.u8();
-    let cell = fields.u16();
-    let state = endpoint_state(fields.u8())?;
-    let weight = fields.f32();
+    let id = fields.endpoint()?;
+    let zone = fields.u8()?;
+    let machine_type = fields.u8()?;
+    let cell = fields.u16()?;
+    let state = endpoint_state(fields.u8()?)?;
+    let weight = fields.f32()?;
     // 0 stands for long ago.
-    let started = fields.f64();
+    let started = fields.f64()?;
     let started = (started > 0.0).then(|| millis(started));
     Ok(EndpointEntry {
         id,
@@ -150,15 +165,15 @@
     })
 }
 
-fn request(fields: &mut FieldReader) -> Event {
-    let id = RequestId(fields.u64());
-    let class = fields.u16().into();
-    let tenant = fields.u16().into();
-    let key = fields.u64();
-    let remaining = fields.millis();
-    let cost_hint = fields.f64();
-    let flags = fields.u8();
-    Event::Request(NewRequest {
+fn request(fields: &mut FieldReader) -> Result<Event, FieldError> {
+    let id = RequestId(fields.u64()?);
+    let class = fields.u16()?.into();
+    let tenant = fields.u16()?.into();
+    let key = fields.u64()?;
+    let remaining = fields.millis()?;
+    let cost_hint = fields.f64()?;
+    let flags = fields.u8()?;
+    Ok(Event::Request(NewRequest {
         id,
         class,
         tenant,
@@ -166,29 +181,29 @@
         remaining,
         cost_hint: (flags & HAS_COST_HINT != 0).then(|| millis(cost_hint)),
         client_retry: flags & IS_CLIENT_RETRY != 0,
-    })
+    }))
 }
 
-fn stream_started(fields: &mut FieldReader) -> Event {
-    let id = RequestId(fields.u64());
-    fields.skip::<8>(); // not needed for any decision
-    let attempt = fields.u8().into();
-    let endpoint = fields.endpoint();
-    Event::StreamStarted {
+fn stream_started(fields: &mut FieldReader) -> Result<Event, FieldError> {
+    let id = RequestId(fields.u64()?);
+    fields.skip::<8>()?; // not needed for any decision
+    let attempt = fields.u8()?.into();
+    let endpoint = fields.endpoint()?;
+    Ok(Event::StreamStarted {
         id,
         attempt,
         endpoint,
-    }
+    })
 }
 
 fn attempt_ended(fields: &mut FieldReader) -> Result<Input, RecordError> {
     let end = AttemptEnd {
-        id: RequestId(fields.u64()),
-        attempt: fields.u8().into(),
-        endpoint: fields.endpoint(),
-        outcome: outcome(fields.u8())?,
-        elapsed: fields.millis(),
-        request_finished: fields.u8() != 0,
+        id: RequestId(fields.u64()?),
+        attempt: fields.u8()?.into(),
+        endpoint: fields.endpoint()?,
+        outcome: outcome(fields.u8()?)?,
+        elapsed: fields.millis()?,
+        request_finished: fields.u8()? != 0,
         report: None,
     };
     let report = RawLoadReport::decode(fields)?;
@@ -200,9 +215,9 @@
 
 fn health_check_ended(fields: &mut FieldReader) -> Result<Input, RecordError> {
     let end = HealthCheckEnd {
-        endpoint: fields.endpoint(),
-        outcome: outcome(fields.u8())?,
-        elapsed: fields.millis(),
+        endpoint: fields.endpoint()?,
+        outcome: outcome(fields.u8()?)?,
+        elapsed: fields.millis()?,
         report: None,
     };
     let report = RawLoadReport::decode(fields)?;
@@ -220,16 +235,15 @@
     slice_of_tail(field, fields, tail, 1).map(<[u8]>::to_vec)
 }
 
-/// The part of the tail that a record points to, with its start and its count of things of `size`
-/// bytes.
+/// Reads a pointer into the tail, and returns the elements of `size` bytes that it points to.
 fn slice_of_tail<'a>(
     field: &'static str,
     fields: &mut FieldReader,
     tail: &'a [u8],
     size: usize,
 ) -> Result<&'a [u8], RecordError> {
-    let start = fields.u32() as usize;
-    let count = fields.u32() as usize;
+    let start = fields.size()?;
+    let count = fields.size()?;
     let end = count
         .checked_mul(size)
         .and_then(|length| start.checked_add(length));
--- a/crates/simulator-adapter/src/wire/reply.rs
+++ b/crates/simulator-adapter/src/wire/reply.rs
@@ -6,7 +6,7 @@
 use ottertiller_balancer::{Action, EndpointId};
 use std::time::Duration;
 
-/// The reply to one batch, as it grows.
+/// The reply to one batch, under construction.
 #[derive(Default)]
 pub struct Reply {
     record_count: u32,
@@ -15,7 +15,7 @@
 }
 
 impl Reply {
-    /// Adds an action of a node.
+    /// Adds a record for an action of a node.
     pub fn push(&mut self, node: NodeId, action: &Action) {
         match action {
             Action::Fail { id } => self.record(ActionCode::Fail, node).u64(id.0),
@@ -51,14 +51,14 @@
         self.close_record();
     }
 
-    /// Reports that the decisions of a node panicked.
+    /// Adds a record that says that the decisions of a node panicked.
     pub fn push_fault(&mut self, node: NodeId, message: &str) {
         self.record(ActionCode::Fault, node)
             .in_tail(message.as_bytes());
         self.close_record();
     }
 
-    /// The finished frame.
+    /// Returns the frame of the reply to the batch of this number.
     pub fn into_frame(mut self, batch: u32) -> Vec<u8> {
         let length = self.records.len() + self.tail.len();
         let mut frame = Vec::with_capacity(REPLY_HEADER_SIZE + length);
--- a/crates/simulator-adapter/src/wire/tests.rs
+++ b/crates/simulator-adapter/src/wire/tests.rs
@@ -4,7 +4,7 @@
 
 use super::layout::{ACTION_SIZE, ENTRY_SIZE, EVENT_SIZE};
 use super::*;
-use crate::error::AdapterError;
+use crate::error::{AdapterError, ErrorChain, FieldError, RecordError};
 use ottertiller_balancer::settings::{Column, millis};
 use ottertiller_balancer::{
     Action, AttemptEnd, EndpointEntry, EndpointId, EndpointState, Event, HealthCheckEnd, ListKind,
@@ -273,7 +273,8 @@
         ),
     ];
     for (frame, expected) in cases {
-        let error = read(&frame).expect_err(expected).to_string();
+        let error = read(&frame).expect_err(expected);
+        let error = ErrorChain(&error).to_string();
         assert!(error.starts_with(expected), "{error} instead of {expected}");
     }
     let entry = padded("0a124a07 1b5b 00 00 0000 03", ENTRY_SIZE);
@@ -282,11 +283,29 @@
         &entry,
     ));
     assert_eq!(
-        error.expect_err("bad state").to_string(),
+        ErrorChain(&error.expect_err("bad state")).to_string(),
         "batch 12: record 0: unknown endpoint state 3"
     );
 }
 
+#[test]
+fn a_short_record_is_an_error_and_no_panic() {
+    let cut_short = [
+        "01 0001", "02 0001", "03 0001", "04 0001", "05 0001", "06 0001", "07 0001", "08 0001",
+        "09 0001",
+    ];
+    for text in cut_short {
+        let error = Record::decode(&hex(text), &[]).expect_err(text);
+        assert!(
+            matches!(error, RecordError::Truncated(_)),
+            "{text}: {error}"
+        );
+    }
+    let error = Record::decode(&hex("07 0001 00000000"), &[]).expect_err("half an id");
+    let expected = FieldError { size: 8, rest: 4 };
+    assert!(matches!(error, RecordError::Truncated(error) if error == expected));
+}
+
 #[test]
 fn the_end_of_the_input_is_no_error() {
     assert!(read_batch(&mut &[][..]).expect("legal").is_none());
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -228,6 +228,27 @@
     }
 }
 
+#[test]
+fn an_error_line_names_each_cause_once() {
+    let unusable = Batch::new().start(1, b"{\"Classes\": 5}").frame(3);
+    let unknown_outcome = Batch::new().record(8, 1, &[&[0; 6], &[8]]).frame(4);
+    let cases = [
+        (
+            unusable,
+            "batch 3: record 0: bad settings: Classes: invalid type: integer `5`, \
+             expected a sequence at line 1 column 13",
+        ),
+        (unknown_outcome, "batch 4: record 0: unknown outcome 8"),
+    ];
+    for (input, expected) in cases {
+        let error = String::from_utf8_lossy(&run(&input).stderr).into_owned();
+        assert_eq!(
+            error,
+            format!("ottertiller-simulator-adapter: {expected}\n")
+        );
+    }
+}
+
 #[test]
 fn a_claimed_length_takes_no_memory() {
     let mut frame = Batch::new().frame(1);
