--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -11,7 +11,7 @@
 
 /// Why the adapter stopped.
 #[derive(Debug, Error)]
-pub enum AdapterError {
+pub(crate) enum AdapterError {
     /// Standard input cannot be read.
     #[error("cannot read")]
     Read(#[source] io::Error),
@@ -48,7 +48,7 @@
 
 /// What is wrong with a batch as a whole.
 #[derive(Debug, PartialEq, Error)]
-pub enum BatchError {
+pub(crate) enum BatchError {
     /// The input ended within the batch.
     #[error("{received} of {length} bytes")]
     Truncated {
@@ -72,7 +72,7 @@
 
 /// What is wrong with a record.
 #[derive(Debug, Error)]
-pub enum RecordError {
+pub(crate) enum RecordError {
     /// The protocol has no event of this code.
     #[error("unknown event code {0}")]
     UnknownEventCode(u8),
@@ -120,7 +120,7 @@
 /// A field that the bytes end before or within.
 #[derive(Debug, PartialEq, Error)]
 #[error("a field of {size} bytes where {rest} are left")]
-pub struct FieldError {
+pub(crate) struct FieldError {
     /// The bytes of the field.
     pub size: usize,
     /// The bytes that are left.
@@ -128,7 +128,7 @@
 }
 
 /// An error with all its sources, in one line.
-pub struct ErrorChain<'a>(pub &'a dyn Error);
+pub(crate) struct ErrorChain<'a>(pub &'a dyn Error);
 
 impl fmt::Display for ErrorChain<'_> {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -9,7 +9,8 @@
 
 /// The running nodes.
 #[derive(Default)]
-pub struct Session {
+pub(crate) struct Session {
+    /// The nodes by their numbers on the wire.
     nodes: BTreeMap<NodeId, SimulatedNode>,
 }
 
@@ -19,7 +20,7 @@
     /// # Errors
     ///
     /// Returns the first record that cannot be decoded or starts a node with unusable settings.
-    pub fn handle_batch(&mut self, batch: &Batch) -> Result<Vec<u8>, AdapterError> {
+    pub(crate) fn handle_batch(&mut self, batch: &Batch) -> Result<Vec<u8>, AdapterError> {
         let mut reply = Reply::default();
         for (index, record) in batch.records().enumerate() {
             let handled =
@@ -33,6 +34,7 @@
         Ok(reply.into_frame(batch.number))
     }
 
+    /// Starts or stops a node, or passes an event to it.
     fn handle_record(
         &mut self,
         now: Duration,
--- a/crates/simulator-adapter/src/simulated_node.rs
+++ b/crates/simulator-adapter/src/simulated_node.rs
@@ -9,7 +9,8 @@
 use std::time::Duration;
 
 /// A running node.
-pub struct SimulatedNode {
+pub(crate) struct SimulatedNode {
+    /// What decides for the node.
     balancer: Balancer,
     /// What the values of a load report mean, in their order.
     load_report_columns: Vec<Column>,
@@ -17,7 +18,7 @@
 
 /// A panic in the decisions of a node.
 #[derive(Debug, PartialEq)]
-pub struct DecisionPanic {
+pub(crate) struct DecisionPanic {
     /// The panic's message.
     pub message: String,
 }
@@ -28,7 +29,7 @@
     /// # Errors
     ///
     /// Returns [`RecordError::Settings`] if the settings cannot be used.
-    pub fn start(settings: &[u8], seed: u64) -> Result<Self, RecordError> {
+    pub(crate) fn start(settings: &[u8], seed: u64) -> Result<Self, RecordError> {
         let file = SettingsFile::parse(settings)?;
         Ok(SimulatedNode {
             balancer: Balancer::new(file.settings, seed),
@@ -42,7 +43,7 @@
     /// # Errors
     ///
     /// Returns the message of a panic. The balancer must not be used after that.
-    pub fn handle(
+    pub(crate) fn handle(
         &mut self,
         now: Duration,
         mut event: Event,
--- a/crates/simulator-adapter/src/wire/batch.rs
+++ b/crates/simulator-adapter/src/wire/batch.rs
@@ -10,11 +10,12 @@
 
 /// A batch of records.
 #[derive(Debug)]
-pub struct Batch {
+pub(crate) struct Batch {
     /// The number that the reply repeats.
     pub number: u32,
     /// The simulator's clock, at which all its events occur.
     pub clock: Duration,
+    /// The number of records at the start of the body.
     record_count: usize,
     /// The records, and the tail that they point into.
     body: Vec<u8>,
@@ -22,7 +23,9 @@
 
 /// The header of a batch.
 struct BatchHeader {
+    /// The number that the reply repeats.
     number: u32,
+    /// The number of records.
     record_count: usize,
     /// The bytes of all that follows the header.
     body_length: usize,
@@ -31,6 +34,7 @@
 }
 
 impl BatchHeader {
+    /// Decodes a header of [`BATCH_HEADER_SIZE`] bytes.
     fn decode(bytes: &[u8]) -> Result<Self, FieldError> {
         let mut fields = FieldReader::new(bytes);
         Ok(BatchHeader {
@@ -65,6 +69,7 @@
         Ok(())
     }
 
+    /// Names the batch in an error.
     fn error(&self, cause: BatchError) -> AdapterError {
         AdapterError::Batch {
             batch: self.number,
@@ -79,7 +84,7 @@
 ///
 /// Returns an error if the input cannot be read, ends within the batch, or has a header that
 /// breaks the protocol.
-pub fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, AdapterError> {
+pub(crate) fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, AdapterError> {
     let bytes = read_up_to(input, BATCH_HEADER_SIZE)?;
     if bytes.is_empty() {
         return Ok(None);
@@ -114,7 +119,7 @@
 
 impl Batch {
     /// Decodes the records in their order.
-    pub fn records(&self) -> impl Iterator<Item = Result<Record, RecordError>> + '_ {
+    pub(crate) fn records(&self) -> impl Iterator<Item = Result<Record, RecordError>> + '_ {
         let (records, tail) = self.body.split_at(self.record_count * EVENT_SIZE);
         records
             .chunks_exact(EVENT_SIZE)
--- a/crates/simulator-adapter/src/wire/codes.rs
+++ b/crates/simulator-adapter/src/wire/codes.rs
@@ -5,7 +5,7 @@
 
 /// The first byte of an event record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EventCode {
+pub(super) enum EventCode {
     Start = 1,
     EndpointList = 2,
     Request = 3,
@@ -22,7 +22,7 @@
 /// others: 67 logs a line, 72 reads the endpoint list once, 73 sends a message to other nodes and
 /// 74 closes idle connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ActionCode {
+pub(super) enum ActionCode {
     Fail = 65,
     HealthCheck = 66,
     SetTimer = 68,
@@ -55,7 +55,7 @@
 }
 
 /// Decodes what an endpoint list event brings.
-pub fn list_kind(code: u8) -> Result<ListKind, RecordError> {
+pub(super) fn list_kind(code: u8) -> Result<ListKind, RecordError> {
     match code {
         0 => Ok(ListKind::Delta),
         1 => Ok(ListKind::Snapshot),
@@ -66,7 +66,7 @@
 }
 
 /// Decodes how an attempt or a health check ended.
-pub fn outcome(code: u8) -> Result<Outcome, RecordError> {
+pub(super) fn outcome(code: u8) -> Result<Outcome, RecordError> {
     match code {
         0 => Ok(Outcome::Error),
         1 => Ok(Outcome::Served),
@@ -81,7 +81,7 @@
 }
 
 /// Decodes an endpoint's state.
-pub fn endpoint_state(code: u8) -> Result<EndpointState, RecordError> {
+pub(super) fn endpoint_state(code: u8) -> Result<EndpointState, RecordError> {
     match code {
         0 => Ok(EndpointState::Removed),
         1 => Ok(EndpointState::Draining),
@@ -94,7 +94,7 @@
 const ENDPOINT_POLLING_TOKEN: u64 = u64::MAX;
 
 /// Decodes the token of a timer.
-pub fn timer(token: u64) -> Timer {
+pub(super) fn timer(token: u64) -> Timer {
     match token {
         ENDPOINT_POLLING_TOKEN => Timer::EndpointPolling,
         id => Timer::Request(RequestId(id)),
@@ -102,7 +102,7 @@
 }
 
 /// Encodes a timer as the token that comes back when it expires.
-pub fn timer_token(timer: Timer) -> u64 {
+pub(super) fn timer_token(timer: Timer) -> u64 {
     match timer {
         Timer::Request(id) => id.0,
         Timer::EndpointPolling => ENDPOINT_POLLING_TOKEN,
--- a/crates/simulator-adapter/src/wire/layout.rs
+++ b/crates/simulator-adapter/src/wire/layout.rs
@@ -2,13 +2,13 @@
 
 /// The header of a batch: its number, the count of its records, the length of all that follows, and
 /// the clock.
-pub const BATCH_HEADER_SIZE: usize = 20;
+pub(crate) const BATCH_HEADER_SIZE: usize = 20;
 /// The header of a reply: the batch's number, the length of all that follows, and the count of its
 /// records.
-pub const REPLY_HEADER_SIZE: usize = 12;
+pub(crate) const REPLY_HEADER_SIZE: usize = 12;
 /// A record of a batch.
-pub const EVENT_SIZE: usize = 48;
+pub(crate) const EVENT_SIZE: usize = 48;
 /// A record of a reply.
-pub const ACTION_SIZE: usize = 32;
+pub(crate) const ACTION_SIZE: usize = 32;
 /// An entry of an endpoint list, in the tail.
-pub const ENTRY_SIZE: usize = 23;
+pub(crate) const ENTRY_SIZE: usize = 23;
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -5,13 +5,13 @@
 mod batch;
 mod codes;
 mod fields;
-pub mod layout;
+pub(crate) mod layout;
 mod record;
 mod reply;
 
-pub use batch::{Batch, read_batch};
-pub use record::{Input, NodeId, RawLoadReport, Record};
-pub use reply::Reply;
+pub(crate) use batch::{Batch, read_batch};
+pub(crate) use record::{Input, NodeId, RawLoadReport, Record};
+pub(crate) use reply::Reply;
 
 #[cfg(test)]
 mod tests;
--- a/crates/simulator-adapter/src/wire/record.rs
+++ b/crates/simulator-adapter/src/wire/record.rs
@@ -19,11 +19,11 @@
 
 /// The number of a node in the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct NodeId(pub u16);
+pub(crate) struct NodeId(pub u16);
 
 /// A record of a batch.
 #[derive(Debug, PartialEq)]
-pub struct Record {
+pub(crate) struct Record {
     /// The node that it is for.
     pub node: NodeId,
     /// What it says.
@@ -32,7 +32,7 @@
 
 /// What a record says.
 #[derive(Debug, PartialEq)]
-pub enum Input {
+pub(crate) enum Input {
     /// The node starts.
     Start {
         /// The seed of its random numbers.
@@ -55,14 +55,16 @@
 
 /// A load report whose values have no names yet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RawLoadReport {
+pub(crate) struct RawLoadReport {
+    /// The values, of which the first `count` are used.
     values: [f32; REPORT_VALUES],
+    /// The number of values.
     count: usize,
 }
 
 impl RawLoadReport {
     /// Returns the report with the values in the fields that the node's columns name.
-    pub fn named(&self, columns: &[Column]) -> LoadReport {
+    pub(crate) fn named(&self, columns: &[Column]) -> LoadReport {
         let mut report = LoadReport::default();
         for (column, value) in columns.iter().zip(&self.values[..self.count]) {
             column.set(&mut report, *value);
@@ -70,6 +72,7 @@
         report
     }
 
+    /// Decodes a report; returns `None` for one without values.
     fn decode(fields: &mut FieldReader) -> Result<Option<Self>, RecordError> {
         let count = usize::from(fields.u8()?);
         if count > REPORT_VALUES {
@@ -89,7 +92,7 @@
     /// # Errors
     ///
     /// Returns an error if the record breaks the protocol.
-    pub fn decode(record: &[u8], tail: &[u8]) -> Result<Self, RecordError> {
+    pub(crate) fn decode(record: &[u8], tail: &[u8]) -> Result<Self, RecordError> {
         let mut fields = FieldReader::new(record);
         let code = fields.u8()?;
         let node = NodeId(fields.u16()?);
@@ -99,6 +102,7 @@
 }
 
 impl Input {
+    /// Decodes the fields that follow the code and the node.
     fn decode(code: EventCode, fields: &mut FieldReader, tail: &[u8]) -> Result<Self, RecordError> {
         match code {
             EventCode::Start => {
@@ -124,6 +128,7 @@
         }
     }
 
+    /// Returns the input of an event that has no load report.
     fn without_report(event: Event) -> Self {
         Input::Event {
             event,
@@ -132,6 +137,7 @@
     }
 }
 
+/// Decodes an endpoint list, whose entries are in the tail.
 fn endpoint_list(fields: &mut FieldReader, tail: &[u8]) -> Result<Event, RecordError> {
     let kind = list_kind(fields.u8()?)?;
     fields.skip::<4>()?; // not needed for any decision
@@ -143,6 +149,7 @@
     Ok(Event::EndpointList { kind, entries })
 }
 
+/// Decodes an entry of an endpoint list.
 fn endpoint_entry(entry: &[u8]) -> Result<EndpointEntry, RecordError> {
     let mut fields = FieldReader::new(entry);
     let id = fields.endpoint()?;
@@ -165,6 +172,7 @@
     })
 }
 
+/// Decodes a new request.
 fn request(fields: &mut FieldReader) -> Result<Event, FieldError> {
     let id = RequestId(fields.u64()?);
     let class = fields.u16()?.into();
@@ -184,6 +192,7 @@
     }))
 }
 
+/// Decodes the start of a streamed response.
 fn stream_started(fields: &mut FieldReader) -> Result<Event, FieldError> {
     let id = RequestId(fields.u64()?);
     fields.skip::<8>()?; // not needed for any decision
@@ -196,6 +205,7 @@
     })
 }
 
+/// Decodes the end of an attempt.
 fn attempt_ended(fields: &mut FieldReader) -> Result<Input, RecordError> {
     let end = AttemptEnd {
         id: RequestId(fields.u64()?),
@@ -213,6 +223,7 @@
     })
 }
 
+/// Decodes the end of a health check.
 fn health_check_ended(fields: &mut FieldReader) -> Result<Input, RecordError> {
     let end = HealthCheckEnd {
         endpoint: fields.endpoint()?,
@@ -227,6 +238,7 @@
     })
 }
 
+/// Reads a pointer into the tail, and returns a copy of the bytes that it points to.
 fn bytes_in_tail(
     field: &'static str,
     fields: &mut FieldReader,
--- a/crates/simulator-adapter/src/wire/reply.rs
+++ b/crates/simulator-adapter/src/wire/reply.rs
@@ -8,15 +8,18 @@
 
 /// The reply to one batch, under construction.
 #[derive(Default)]
-pub struct Reply {
+pub(crate) struct Reply {
+    /// The number of records.
     record_count: u32,
+    /// The records, of which the last may be unfinished.
     records: Vec<u8>,
+    /// The bytes that records point to.
     tail: Vec<u8>,
 }
 
 impl Reply {
     /// Adds a record for an action of a node.
-    pub fn push(&mut self, node: NodeId, action: &Action) {
+    pub(crate) fn push(&mut self, node: NodeId, action: &Action) {
         match action {
             Action::Fail { id } => self.record(ActionCode::Fail, node).u64(id.0),
             Action::HealthCheck { endpoint } => self
@@ -52,14 +55,14 @@
     }
 
     /// Adds a record that says that the decisions of a node panicked.
-    pub fn push_fault(&mut self, node: NodeId, message: &str) {
+    pub(crate) fn push_fault(&mut self, node: NodeId, message: &str) {
         self.record(ActionCode::Fault, node)
             .in_tail(message.as_bytes());
         self.close_record();
     }
 
     /// Returns the frame of the reply to the batch of this number.
-    pub fn into_frame(mut self, batch: u32) -> Vec<u8> {
+    pub(crate) fn into_frame(mut self, batch: u32) -> Vec<u8> {
         let length = self.records.len() + self.tail.len();
         let mut frame = Vec::with_capacity(REPLY_HEADER_SIZE + length);
         frame.extend(batch.to_be_bytes());
@@ -70,10 +73,12 @@
         frame
     }
 
+    /// Starts a record.
     fn record(&mut self, code: ActionCode, node: NodeId) -> &mut Self {
         self.u8(code as u8).u16(node.0)
     }
 
+    /// Fills the record that was started with zeros to its size.
     fn close_record(&mut self) {
         self.record_count += 1;
         self.records
@@ -87,31 +92,38 @@
         self.u32(start).u32(bytes.len() as u32)
     }
 
+    /// Adds bytes to the record.
     fn put(&mut self, bytes: &[u8]) -> &mut Self {
         self.records.extend(bytes);
         self
     }
 
+    /// Adds an unsigned integer of 8 bits to the record.
     fn u8(&mut self, value: u8) -> &mut Self {
         self.put(&[value])
     }
 
+    /// Adds an unsigned integer of 16 bits to the record.
     fn u16(&mut self, value: u16) -> &mut Self {
         self.put(&value.to_be_bytes())
     }
 
+    /// Adds an unsigned integer of 32 bits to the record.
     fn u32(&mut self, value: u32) -> &mut Self {
         self.put(&value.to_be_bytes())
     }
 
+    /// Adds an unsigned integer of 64 bits to the record.
     fn u64(&mut self, value: u64) -> &mut Self {
         self.put(&value.to_be_bytes())
     }
 
+    /// Adds a time in milliseconds to the record, in steps of a microsecond.
     fn millis(&mut self, value: Duration) -> &mut Self {
         self.put(&(value.as_micros() as f64 / 1000.0).to_be_bytes())
     }
 
+    /// Adds an endpoint to the record: four bytes of address and two of port.
     fn endpoint(&mut self, endpoint: EndpointId) -> &mut Self {
         self.u32((endpoint.0 >> 16) as u32).u16(endpoint.0 as u16)
     }
--- a/crates/xtask/src/circles.rs
+++ b/crates/xtask/src/circles.rs
@@ -16,7 +16,7 @@
 
 /// What is wrong with the imports of a crate.
 #[derive(Debug, Error)]
-pub enum CircleProblem {
+pub(crate) enum CircleProblem {
     /// The folder holds no crate, so that it is hardly the one that was meant.
     #[error("no crate in {}", .0.display())]
     NoCrates(PathBuf),
@@ -27,7 +27,7 @@
 
 /// Modules that can all be reached from one another, with the imports between them.
 #[derive(Debug)]
-pub struct Circle {
+pub(crate) struct Circle {
     modules: usize,
     imports: Vec<(ModulePath, ModulePath)>,
 }
@@ -43,7 +43,7 @@
 }
 
 /// Returns the circles of the crates in a folder.
-pub fn check(crates: &Path) -> Result<Vec<CircleProblem>, ReadError> {
+pub(crate) fn check(crates: &Path) -> Result<Vec<CircleProblem>, ReadError> {
     let folders = source_folders(crates)?;
     if folders.is_empty() {
         return Ok(vec![CircleProblem::NoCrates(crates.to_path_buf())]);
--- a/crates/xtask/src/circles/import_graph.rs
+++ b/crates/xtask/src/circles/import_graph.rs
@@ -7,13 +7,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The modules of a crate, each with the modules that it imports from.
-pub struct ImportGraph {
+pub(super) struct ImportGraph {
     imports: BTreeMap<ModulePath, BTreeSet<ModulePath>>,
 }
 
 impl ImportGraph {
     /// Reads the imports of the files of a crate.
-    pub fn new<'a>(files: impl Iterator<Item = &'a SourceFile>) -> Self {
+    pub(super) fn new<'a>(files: impl Iterator<Item = &'a SourceFile>) -> Self {
         let named = files.map(|file| (ModulePath::of_file(&file.path), file.text.as_str()));
         let sources: BTreeMap<ModulePath, &str> = named.collect();
         let modules: BTreeSet<ModulePath> = sources.keys().cloned().collect();
@@ -27,7 +27,7 @@
     }
 
     /// Returns the circles, each once.
-    pub fn circles(&self) -> Vec<Circle> {
+    pub(super) fn circles(&self) -> Vec<Circle> {
         let reachable: BTreeMap<&ModulePath, BTreeSet<&ModulePath>> = self
             .imports
             .keys()
--- a/crates/xtask/src/circles/imports.rs
+++ b/crates/xtask/src/circles/imports.rs
@@ -15,7 +15,7 @@
 
 /// Returns the paths of all `use` statements, one for each leaf of their braces, and the paths of
 /// expressions that begin with `crate` or `super`.
-pub fn paths_in(source: &str) -> Vec<String> {
+pub(super) fn paths_in(source: &str) -> Vec<String> {
     let code = COMMENT.replace_all(source, "");
     let code = VISIBILITY.replace_all(&code, "");
     let mut paths = Vec::new();
--- a/crates/xtask/src/circles/module_path.rs
+++ b/crates/xtask/src/circles/module_path.rs
@@ -4,11 +4,11 @@
 
 /// The path of a module from the root of its crate; the root itself has no segments.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ModulePath(Vec<String>);
+pub(super) struct ModulePath(Vec<String>);
 
 impl ModulePath {
     /// Returns the module whose file has this path below `src`.
-    pub fn of_file(path: &str) -> Self {
+    pub(super) fn of_file(path: &str) -> Self {
         let path = path.strip_suffix(".rs").unwrap_or(path);
         let mut segments: Vec<String> = path.split('/').map(str::to_string).collect();
         if matches!(
@@ -22,7 +22,7 @@
 
     /// Returns the path that `path` means within this module, if it begins with `crate`, `super` or
     /// `self`. Its last segments may be items.
-    pub fn resolve(&self, path: &str) -> Option<Self> {
+    pub(super) fn resolve(&self, path: &str) -> Option<Self> {
         let mut segments = path.split("::").map(str::trim);
         let mut resolved = match segments.next()? {
             "crate" => Vec::new(),
@@ -46,13 +46,13 @@
     }
 
     /// Returns this path and those that it lies within, the longest first, without the root.
-    pub fn with_parents(&self) -> impl Iterator<Item = Self> + '_ {
+    pub(super) fn with_parents(&self) -> impl Iterator<Item = Self> + '_ {
         let lengths = (1..=self.0.len()).rev();
         lengths.map(|length| ModulePath(self.0[..length].to_vec()))
     }
 
     /// Returns whether this is `other` or a module within it.
-    pub fn is_within(&self, other: &Self) -> bool {
+    pub(super) fn is_within(&self, other: &Self) -> bool {
         self.0.starts_with(&other.0)
     }
 }
--- a/crates/xtask/src/citations.rs
+++ b/crates/xtask/src/citations.rs
@@ -27,7 +27,7 @@
 
 /// A citation that is wrong.
 #[derive(Debug, Error)]
-pub enum CitationProblem {
+pub(crate) enum CitationProblem {
     /// No tests are listed, so that no citation could be checked.
     #[error("{} lists no test", .0.display())]
     EmptyListing(PathBuf),
@@ -49,7 +49,7 @@
 
 /// Returns the wrong citations of the pages of the repository in the working directory. The tests
 /// that exist are those of a file with what `cargo test -- --list` printed.
-pub fn check(tests: &Path) -> Result<Vec<CitationProblem>, ReadError> {
+pub(crate) fn check(tests: &Path) -> Result<Vec<CitationProblem>, ReadError> {
     let listed = listed_tests(&read_text(tests)?);
     if listed.is_empty() {
         return Ok(vec![CitationProblem::EmptyListing(tests.to_path_buf())]);
--- a/crates/xtask/src/citations/citation.rs
+++ b/crates/xtask/src/citations/citation.rs
@@ -2,7 +2,7 @@
 
 /// Something that is checked.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Citation<'a> {
+pub(super) enum Citation<'a> {
     /// A Rust file, by the end of its path.
     File(&'a str),
     /// A test or a function.
@@ -11,7 +11,7 @@
 
 /// The name of a test or a function, or of a group of tests.
 #[derive(Debug, PartialEq, Eq)]
-pub struct CitedName<'a> {
+pub(super) struct CitedName<'a> {
     /// The whole segments in front.
     pub modules: Vec<&'a str>,
     /// What the last segment says.
@@ -20,7 +20,7 @@
 
 /// The last segment of a name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LastSegment<'a> {
+pub(super) enum LastSegment<'a> {
     /// The whole name: `NAME`.
     Whole(&'a str),
     /// The beginning of the name: `BEGINNING...`.
@@ -31,7 +31,7 @@
 
 impl<'a> Citation<'a> {
     /// Reads a code span; `None` if it cites nothing that is checked.
-    pub fn parse(span: &'a str) -> Option<Self> {
+    pub(super) fn parse(span: &'a str) -> Option<Self> {
         if span.contains("::") {
             return CitedName::parse(span).map(Citation::Name);
         }
@@ -56,7 +56,7 @@
     }
 
     /// Returns whether a test with these segments is meant.
-    pub fn fits(&self, test: &[&str]) -> bool {
+    pub(super) fn fits(&self, test: &[&str]) -> bool {
         (0..test.len()).any(|start| self.fits_whole(&test[start..]))
     }
 
--- a/crates/xtask/src/citations/page.rs
+++ b/crates/xtask/src/citations/page.rs
@@ -5,7 +5,7 @@
 
 /// Returns the text of each pair of backticks with the number of its line. Fenced blocks are left
 /// out, and so are old names.
-pub fn code_spans(page: &str) -> Vec<(usize, &str)> {
+pub(super) fn code_spans(page: &str) -> Vec<(usize, &str)> {
     let mut spans = Vec::new();
     let mut in_fence = false;
     let mut in_renamed = false;
--- a/crates/xtask/src/citations/symbols.rs
+++ b/crates/xtask/src/citations/symbols.rs
@@ -11,7 +11,7 @@
     LazyLock::new(|| Regex::new(r"\bfn\s+(\w+)").expect("the pattern is well-formed"));
 
 /// The tests, functions and files that exist.
-pub struct Symbols {
+pub(super) struct Symbols {
     /// The full names of all tests: `CRATE::PROGRAM::MODULE::NAME`.
     tests: Vec<String>,
     /// The names of all functions, each with the module of its file.
@@ -22,7 +22,7 @@
 
 impl Symbols {
     /// Takes in the tests that cargo lists, and the Rust files of the repository.
-    pub fn new(tests: &[Test], files: Vec<SourceFile>) -> Self {
+    pub(super) fn new(tests: &[Test], files: Vec<SourceFile>) -> Self {
         let functions = files.iter().flat_map(functions_of).collect();
         let paths: Vec<String> = files.into_iter().map(|file| file.path).collect();
         let tests = tests.iter().map(|test| full_name(test, &paths)).collect();
@@ -34,14 +34,14 @@
     }
 
     /// Returns whether a file has a path that ends with this one.
-    pub fn has_file(&self, end: &str) -> bool {
+    pub(super) fn has_file(&self, end: &str) -> bool {
         let below = format!("/{end}");
         let mut paths = self.paths.iter();
         paths.any(|path| path == end || path.ends_with(&below))
     }
 
     /// Returns whether a test or a function has this name.
-    pub fn has_name(&self, name: &CitedName) -> bool {
+    pub(super) fn has_name(&self, name: &CitedName) -> bool {
         self.has_test(name) || self.has_function(name)
     }
 
--- a/crates/xtask/src/command_line.rs
+++ b/crates/xtask/src/command_line.rs
@@ -7,7 +7,7 @@
 /// The project's checks, run from the root of the repository.
 #[derive(Debug, Parser)]
 #[command(name = "xtask")]
-pub struct CommandLine {
+pub(crate) struct CommandLine {
     /// The check to run.
     #[command(subcommand)]
     pub check: Check,
@@ -15,7 +15,7 @@
 
 /// A check and what it is run on.
 #[derive(Debug, Subcommand)]
-pub enum Check {
+pub(crate) enum Check {
     /// Checks that tests stand in test files and that no file has over 400 non-blank lines
     Sources {
         /// The folder whose Rust sources are checked
@@ -43,7 +43,7 @@
 
 impl Check {
     /// Returns the name of the subcommand, which begins each line of its findings.
-    pub fn name(&self) -> &'static str {
+    pub(crate) fn name(&self) -> &'static str {
         match self {
             Check::Sources { .. } => "sources",
             Check::Decisions { .. } => "decisions",
--- a/crates/xtask/src/decisions.rs
+++ b/crates/xtask/src/decisions.rs
@@ -32,7 +32,7 @@
 
 /// A decision file that is not what it should be.
 #[derive(Debug, Error)]
-pub enum DecisionProblem {
+pub(crate) enum DecisionProblem {
     /// The deploy file names no decision files.
     #[error("{} names no policy files", .0.display())]
     NoPolicyFiles(PathBuf),
@@ -56,7 +56,7 @@
 
 /// Returns what is wrong with the files that a deploy file names as decisions, from the working
 /// directory.
-pub fn check(deploy_file: &Path) -> Result<Vec<DecisionProblem>, ReadError> {
+pub(crate) fn check(deploy_file: &Path) -> Result<Vec<DecisionProblem>, ReadError> {
     let files = policy_files(&read_text(deploy_file)?);
     if files.is_empty() {
         let deploy_file = deploy_file.to_path_buf();
--- a/crates/xtask/src/read_error.rs
+++ b/crates/xtask/src/read_error.rs
@@ -8,7 +8,7 @@
 /// A file or folder that a check needs cannot be read.
 #[derive(Debug, Error)]
 #[error("cannot read {}", path.display())]
-pub struct ReadError {
+pub(crate) struct ReadError {
     path: PathBuf,
     #[source]
     cause: io::Error,
@@ -16,7 +16,7 @@
 
 impl ReadError {
     /// Returns a function that names the path in an error of input.
-    pub fn at(path: &Path) -> impl FnOnce(io::Error) -> Self + '_ {
+    pub(crate) fn at(path: &Path) -> impl FnOnce(io::Error) -> Self + '_ {
         |cause| ReadError {
             path: path.to_path_buf(),
             cause,
@@ -24,13 +24,13 @@
     }
 
     /// Returns whether the file is missing.
-    pub fn is_not_found(&self) -> bool {
+    pub(crate) fn is_not_found(&self) -> bool {
         self.cause.kind() == io::ErrorKind::NotFound
     }
 }
 
 /// Returns the text of a file. Bytes that are not UTF-8 are replaced.
-pub fn read_text(path: &Path) -> Result<String, ReadError> {
+pub(crate) fn read_text(path: &Path) -> Result<String, ReadError> {
     let bytes = fs::read(path).map_err(ReadError::at(path))?;
     Ok(String::from_utf8_lossy(&bytes).into_owned())
 }
--- a/crates/xtask/src/source_tree.rs
+++ b/crates/xtask/src/source_tree.rs
@@ -9,7 +9,7 @@
 
 /// A Rust file.
 #[derive(Debug)]
-pub struct SourceFile {
+pub(crate) struct SourceFile {
     /// The path from the folder that was searched, with `/` between its parts.
     pub path: String,
     /// The whole text.
@@ -19,25 +19,25 @@
 impl SourceFile {
     /// Returns whether the file may hold tests: it lies in a folder named `tests`, or is named
     /// `tests.rs` or `*_tests.rs`.
-    pub fn is_test_file(&self) -> bool {
+    pub(crate) fn is_test_file(&self) -> bool {
         let rooted = format!("/{}", self.path);
         rooted.contains("/tests/") || rooted.ends_with("/tests.rs") || rooted.ends_with("_tests.rs")
     }
 
     /// Counts the lines that are not blank.
-    pub fn non_blank_lines(&self) -> usize {
+    pub(crate) fn non_blank_lines(&self) -> usize {
         non_blank_lines(&self.text)
     }
 }
 
 /// Counts the lines of a text that are not blank.
-pub fn non_blank_lines(text: &str) -> usize {
+pub(crate) fn non_blank_lines(text: &str) -> usize {
     let lines = text.lines();
     lines.filter(|line| !line.trim().is_empty()).count()
 }
 
 /// Returns all Rust files below a folder, in the order of their paths.
-pub fn rust_files(folder: &Path) -> Result<Vec<SourceFile>, ReadError> {
+pub(crate) fn rust_files(folder: &Path) -> Result<Vec<SourceFile>, ReadError> {
     let mut files = Vec::new();
     collect_rust_files(folder, "", &mut files)?;
     files.sort_by(|a, b| a.path.cmp(&b.path));
--- a/crates/xtask/src/sources.rs
+++ b/crates/xtask/src/sources.rs
@@ -17,7 +17,7 @@
 
 /// A file that does not keep the layout.
 #[derive(Debug, Error)]
-pub enum SourceProblem {
+pub(crate) enum SourceProblem {
     /// The folder has no Rust file at all, so that it is hardly the one that was meant.
     #[error("no Rust source below {}", .0.display())]
     NoSources(PathBuf),
@@ -30,7 +30,7 @@
 }
 
 /// Returns what is wrong with the layout of the Rust files below a folder.
-pub fn check(folder: &Path) -> Result<Vec<SourceProblem>, ReadError> {
+pub(crate) fn check(folder: &Path) -> Result<Vec<SourceProblem>, ReadError> {
     let files = rust_files(folder)?;
     if files.is_empty() {
         return Ok(vec![SourceProblem::NoSources(folder.to_path_buf())]);
--- a/crates/xtask/src/test_output.rs
+++ b/crates/xtask/src/test_output.rs
@@ -2,7 +2,7 @@
 
 /// A test program as cargo announces it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TestProgram {
+pub(crate) struct TestProgram {
     /// The program without its hash, such as `node`; for tests of the documentation, the crate.
     pub name: String,
     /// The source file that cargo prints, such as `tests/node/main.rs`, or `doc-tests`.
@@ -31,7 +31,7 @@
     }
 
     /// Returns the name of the program in `KNOWN-RED.txt`: `PROGRAM/PATH`.
-    pub fn full_name(&self) -> String {
+    pub(crate) fn full_name(&self) -> String {
         format!("{}/{}", self.name, self.source)
     }
 }
@@ -55,7 +55,7 @@
 
 /// A test and the program that it is a part of.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Test {
+pub(crate) struct Test {
     /// The program, unless the test came before any announcement.
     pub program: Option<TestProgram>,
     /// The path of the test in its program, such as `discovery::lists_may_be_indented`.
@@ -64,21 +64,21 @@
 
 impl Test {
     /// Returns the name of the test in `KNOWN-RED.txt`: `PROGRAM/PATH::NAME`.
-    pub fn full_name(&self) -> String {
+    pub(crate) fn full_name(&self) -> String {
         let program = self.program.as_ref().map(TestProgram::full_name);
         format!("{}::{}", program.unwrap_or_default(), self.path)
     }
 }
 
 /// Returns the test programs that are announced, in their order.
-pub fn announced_programs(output: &str) -> Vec<TestProgram> {
+pub(crate) fn announced_programs(output: &str) -> Vec<TestProgram> {
     lines(output)
         .filter_map(TestProgram::announced_in)
         .collect()
 }
 
 /// Returns the tests that `cargo test -- --list` printed.
-pub fn listed_tests(listing: &str) -> Vec<Test> {
+pub(crate) fn listed_tests(listing: &str) -> Vec<Test> {
     with_programs(listing)
         .filter_map(|(program, line)| {
             let path = line.strip_suffix(": test")?.to_string();
@@ -89,7 +89,7 @@
 
 /// Returns what stands under `failures:`: the names of failed tests, and other indented lines that
 /// the tests printed.
-pub fn failure_lines(output: &str) -> Vec<Test> {
+pub(crate) fn failure_lines(output: &str) -> Vec<Test> {
     let mut in_failures = false;
     let mut tests = Vec::new();
     for (program, line) in with_programs(output) {
@@ -109,12 +109,12 @@
 }
 
 /// Counts the test programs that came to an end.
-pub fn count_results(output: &str) -> usize {
+pub(crate) fn count_results(output: &str) -> usize {
     result_lines(output).count()
 }
 
 /// Sums up the failures that the test programs counted.
-pub fn count_failures(output: &str) -> usize {
+pub(crate) fn count_failures(output: &str) -> usize {
     result_lines(output).map(failures_in_result).sum()
 }
 
--- a/crates/xtask/src/verdict.rs
+++ b/crates/xtask/src/verdict.rs
@@ -24,7 +24,7 @@
 /// same path. Tests of the documentation are named CRATE/doc-tests::NAME. Where two programs have
 /// the same name all the same, the verdict fails.
 #[derive(Debug, Args)]
-pub struct TestRunFiles {
+pub(crate) struct TestRunFiles {
     /// The file with what `cargo test -- --list` printed
     tests: PathBuf,
     /// The file with what the run printed
@@ -38,7 +38,7 @@
 
 impl TestRunFiles {
     /// Reads the files.
-    pub fn read(&self) -> Result<TestRun, ReadError> {
+    pub(crate) fn read(&self) -> Result<TestRun, ReadError> {
         let known_red = match read_text(&self.known_red) {
             Ok(text) => text,
             Err(error) if error.is_not_found() => String::new(),
@@ -55,7 +55,7 @@
 
 /// What is known of a run of the tests.
 #[derive(Debug)]
-pub struct TestRun {
+pub(crate) struct TestRun {
     listing: String,
     output: String,
     status: i32,
@@ -64,7 +64,7 @@
 
 /// Whether a run passes.
 #[derive(Debug)]
-pub struct Verdict {
+pub(crate) struct Verdict {
     /// The lines to print of tests that are known to fail.
     pub notes: Vec<String>,
     /// Why the run does not pass.
@@ -73,7 +73,7 @@
 
 /// Why a run does not pass.
 #[derive(Debug, Error)]
-pub enum VerdictFailure {
+pub(crate) enum VerdictFailure {
     /// Failures could not be told apart.
     #[error("two test programs have the same name: {0}")]
     SameName(String),
@@ -99,7 +99,7 @@
 
 impl TestRun {
     /// Decides whether the run passes.
-    pub fn judge(&self) -> Verdict {
+    pub(crate) fn judge(&self) -> Verdict {
         let mut notes = Vec::new();
         let failure = self.pass(&mut notes).err();
         Verdict { notes, failure }
--- a/crates/xtask/src/verdict/known_red.rs
+++ b/crates/xtask/src/verdict/known_red.rs
@@ -16,7 +16,7 @@
 
 /// A test that may fail.
 #[derive(Debug)]
-pub struct KnownRed {
+pub(super) struct KnownRed {
     /// The full name of the test.
     pub test: String,
     /// The whole line of the list.
@@ -25,7 +25,7 @@
 
 /// Why the list cannot be used.
 #[derive(Debug, Error)]
-pub enum KnownRedError {
+pub(crate) enum KnownRedError {
     /// A line has another form.
     #[error("malformed in KNOWN-RED.txt: {0}")]
     Malformed(String),
@@ -41,7 +41,10 @@
 }
 
 /// Reads the list; all its tests must be among the existing ones.
-pub fn parse(text: &str, existing: &BTreeSet<String>) -> Result<Vec<KnownRed>, KnownRedError> {
+pub(super) fn parse(
+    text: &str,
+    existing: &BTreeSet<String>,
+) -> Result<Vec<KnownRed>, KnownRedError> {
     let mut listed: Vec<KnownRed> = Vec::new();
     for line in text.split_terminator('\n') {
         let red = parse_line(line)?;
--- a/crates/xtask/tests/support/mod.rs
+++ b/crates/xtask/tests/support/mod.rs
@@ -6,11 +6,11 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 /// A folder with files, removed at the end of its test.
-pub struct Folder(PathBuf);
+pub(crate) struct Folder(PathBuf);
 
 impl Folder {
     /// Writes files, each with its path and its text.
-    pub fn new(files: &[(&str, &str)]) -> Self {
+    pub(crate) fn new(files: &[(&str, &str)]) -> Self {
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let number = NUMBER.fetch_add(1, Ordering::SeqCst);
         let name = format!("files-{}-{number}", std::process::id());
@@ -24,7 +24,7 @@
     }
 
     /// Runs the program in the folder. Returns whether it passes, and what it prints.
-    pub fn xtask(&self, arguments: &[&str]) -> (bool, String) {
+    pub(crate) fn xtask(&self, arguments: &[&str]) -> (bool, String) {
         let ended = Command::new(env!("CARGO_BIN_EXE_xtask"))
             .args(arguments)
             .current_dir(&self.0)
