--- a/crates/balancer-simulation/src/fleet/action_digest.rs
+++ b/crates/balancer-simulation/src/fleet/action_digest.rs
@@ -11,7 +11,9 @@
 /// The number of recorded actions, and the first bytes of their digest in hexadecimal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordedActions {
+    /// The number of actions.
     pub count: usize,
+    /// The first bytes of the digest of all actions, in hexadecimal.
     pub digest: String,
 }
 
--- a/crates/balancer-simulation/src/node/requests.rs
+++ b/crates/balancer-simulation/src/node/requests.rs
@@ -5,19 +5,22 @@
 use ottertiller_balancer::{Action, AttemptEnd, EndpointId, Event, NewRequest, Outcome, RequestId};
 use std::time::Duration;
 
-/// An attempt of a request; its first one has number 0.
+/// The identity of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptId {
+    /// The request that is attempted.
     pub request: RequestId,
+    /// The number of the attempt, in the order of sending, from 0.
     pub number: usize,
 }
 
 impl AttemptId {
+    /// Returns the id of an attempt by its number.
     pub fn new(request: RequestId, number: usize) -> Self {
         AttemptId { request, number }
     }
 
-    /// Names the first attempt of a request.
+    /// Returns the id of the first attempt of a request.
     pub fn first(request: RequestId) -> Self {
         AttemptId::new(request, 0)
     }
@@ -26,7 +29,9 @@
 /// What a request may differ in.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestOptions {
+    /// The index of the class.
     pub class: usize,
+    /// The index of the tenant.
     pub tenant: usize,
     /// The time from now to the deadline.
     pub remaining: Duration,
--- a/crates/simulator-adapter/src/wire/layout.rs
+++ b/crates/simulator-adapter/src/wire/layout.rs
@@ -1,12 +1,14 @@
 //! The sizes of what is on the wire, in bytes.
 
-/// Number, count of records, length of all that follows, clock.
-pub const BATCH_HEADER_SIZE: usize = 20;
-/// Number, length of all that follows, count of records.
-pub const REPLY_HEADER_SIZE: usize = 12;
+/// The header of a batch: its number, the count of its records, the length of all that follows, and
+/// the clock.
+pub(crate) const BATCH_HEADER_SIZE: usize = 20;
+/// The header of a reply: the batch's number, the length of all that follows, and the count of its
+/// records.
+pub(crate) const REPLY_HEADER_SIZE: usize = 12;
 /// A record of a batch.
-pub const EVENT_SIZE: usize = 48;
+pub(crate) const EVENT_SIZE: usize = 48;
 /// A record of a reply.
-pub const ACTION_SIZE: usize = 32;
+pub(crate) const ACTION_SIZE: usize = 32;
 /// An entry of an endpoint list, in the tail.
-pub const ENTRY_SIZE: usize = 23;
+pub(crate) const ENTRY_SIZE: usize = 23;
--- a/crates/simulator-adapter/src/wire/tests.rs
+++ b/crates/simulator-adapter/src/wire/tests.rs
@@ -4,7 +4,7 @@
 
 use super::layout::{ACTION_SIZE, ENTRY_SIZE, EVENT_SIZE};
 use super::*;
-use crate::error::AdapterError;
+use crate::error::{AdapterError, ErrorChain, FieldError, RecordError};
 use ottertiller_balancer::settings::{Column, millis};
 use ottertiller_balancer::{
     Action, AttemptEnd, EndpointEntry, EndpointId, EndpointState, Event, HealthCheckEnd, ListKind,
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_batch_of_two_instances_is_decoded() {
+fn a_batch_of_two_nodes_is_decoded() {
     let records = [
         padded(
             "03 0003 000fb0475d3a91c4 0000 0000 91f03b7c55d20a64 406e000000000000 4028000000000000 01",
@@ -116,15 +116,15 @@
         read(&frame).expect("legal"),
         [
             Record {
-                instance: 3,
+                node: NodeId(3),
                 input: without_report(Event::Request(request))
             },
             Record {
-                instance: 3,
+                node: NodeId(3),
                 input: without_report(Event::Timer(Timer::Request(RequestId(0x4d))))
             },
             Record {
-                instance: 5,
+                node: NodeId(5),
                 input: without_report(disconnected)
             },
         ]
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn a_health_check_brings_its_report_under_the_names_of_the_columns() {
+fn a_load_report_is_named_by_the_columns_of_its_node() {
     let input = read_input(
         "08 0001 0a124a07 1b5b 01 3ff0000000000000 03 40400000 3f800000 3f000000",
         "",
@@ -213,7 +213,13 @@
         seed: 9,
         settings: b"{}".to_vec(),
     };
-    assert_eq!(record, Record { instance: 7, input });
+    assert_eq!(
+        record,
+        Record {
+            node: NodeId(7),
+            input
+        }
+    );
     assert_eq!(read_input("0a 0007", ""), Input::Stop);
     let input = read_input(
         "04 0001 0000000000000005 4000000000000000 02 00000000 0007",
@@ -267,7 +273,8 @@
         ),
     ];
     for (frame, expected) in cases {
-        let error = read(&frame).expect_err(expected).to_string();
+        let error = read(&frame).expect_err(expected);
+        let error = ErrorChain(&error).to_string();
         assert!(error.starts_with(expected), "{error} instead of {expected}");
     }
     let entry = padded("0a124a07 1b5b 00 00 0000 03", ENTRY_SIZE);
@@ -276,11 +283,29 @@
         &entry,
     ));
     assert_eq!(
-        error.expect_err("bad state").to_string(),
+        ErrorChain(&error.expect_err("bad state")).to_string(),
         "batch 12: record 0: unknown endpoint state 3"
     );
 }
 
+#[test]
+fn a_short_record_is_an_error_and_no_panic() {
+    let cut_short = [
+        "01 0001", "02 0001", "03 0001", "04 0001", "05 0001", "06 0001", "07 0001", "08 0001",
+        "09 0001",
+    ];
+    for text in cut_short {
+        let error = Record::decode(&hex(text), &[]).expect_err(text);
+        assert!(
+            matches!(error, RecordError::Truncated(_)),
+            "{text}: {error}"
+        );
+    }
+    let error = Record::decode(&hex("07 0001 00000000"), &[]).expect_err("half an id");
+    let expected = FieldError { size: 8, rest: 4 };
+    assert!(matches!(error, RecordError::Truncated(error) if error == expected));
+}
+
 #[test]
 fn the_end_of_the_input_is_no_error() {
     assert!(read_batch(&mut &[][..]).expect("legal").is_none());
@@ -311,7 +336,7 @@
     assert_eq!((new.class, new.tenant, new.cost_hint), (1, 2, None));
     let mut reply = Reply::default();
     reply.push(
-        3,
+        NodeId(3),
         &Action::StartAttempt {
             id: new.id,
             endpoint: entries[0].id,
