--- a/crates/balancer-simulation/src/fleet/mod.rs
+++ b/crates/balancer-simulation/src/fleet/mod.rs
@@ -118,6 +118,10 @@
     }
 
     /// Replaces endpoints by ones that start now, and notifies all nodes.
+    ///
+    /// # Panics
+    ///
+    /// Panics if an endpoint to be removed was never added.
     pub fn replace_endpoints(&mut self, removed: Range<u64>, added: Range<u64>) {
         for id in added {
             self.add_endpoint(started_entry(id, self.now));
@@ -179,7 +183,7 @@
             Due::Timer(timer) => self.deliver(node, Event::Timer(timer)),
             Due::AttemptEnd(end) => self.end_attempt(node, end),
             Due::HealthCheckEnd { endpoint, started } => {
-                self.end_health_check(node, endpoint, started)
+                self.end_health_check(node, endpoint, started);
             }
             Due::ListFailed => self.deliver_list_failure(node),
             Due::ListSnapshot => self.deliver_snapshot(node),
--- a/crates/balancer-simulation/src/node/requests.rs
+++ b/crates/balancer-simulation/src/node/requests.rs
@@ -106,6 +106,10 @@
     }
 
     /// Has the client of a request disconnect.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the node was not sent the request.
     pub fn disconnect_client(&mut self, id: RequestId) {
         self.requests.get_mut(&id).expect("a request").finished = true;
         self.deliver(Event::ClientDisconnected { id });
@@ -113,6 +117,10 @@
 
     /// Ends an attempt in flight, and returns the actions that follow. `in_flight` is what the
     /// endpoint reports with the response.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the node did not make the attempt, or it has ended.
     pub fn end_attempt(
         &mut self,
         AttemptId {
--- a/crates/balancer/src/balancer/routing.rs
+++ b/crates/balancer/src/balancer/routing.rs
@@ -62,7 +62,7 @@
             RoutingDecision::WaitForEndpoint => self.wait_for_endpoint(id, actions),
             RoutingDecision::Send(endpoint) => self.start_attempt(id, endpoint, actions),
             RoutingDecision::CheckLoads { unknown, otherwise } => {
-                self.check_loads(id, unknown, otherwise, actions)
+                self.check_loads(id, unknown, otherwise, actions);
             }
             RoutingDecision::Reject => self.reject(id, actions),
         }
--- a/crates/balancer/tests/decisions/support.rs
+++ b/crates/balancer/tests/decisions/support.rs
@@ -10,25 +10,25 @@
 /// The time that [`serve_one`] takes.
 const SERVE_TIME: Duration = Duration::from_millis(20);
 /// The time that each request of [`play_requests`] takes.
-pub const PLAY_TIME: Duration = Duration::from_millis(30);
+pub(crate) const PLAY_TIME: Duration = Duration::from_millis(30);
 
 /// The attempts at each endpoint.
 #[derive(Debug, Default)]
-pub struct AttemptCounts(BTreeMap<u64, usize>);
+pub(crate) struct AttemptCounts(BTreeMap<u64, usize>);
 
 impl AttemptCounts {
     /// Counts an attempt at an endpoint.
-    pub fn add(&mut self, endpoint: u64) {
+    pub(crate) fn add(&mut self, endpoint: u64) {
         *self.0.entry(endpoint).or_insert(0) += 1;
     }
 
     /// Returns the number of attempts at an endpoint.
-    pub fn at(&self, endpoint: u64) -> usize {
+    pub(crate) fn at(&self, endpoint: u64) -> usize {
         self.0.get(&endpoint).copied().unwrap_or_default()
     }
 
     /// Returns the number of attempts at some endpoints.
-    pub fn at_any(&self, endpoints: impl IntoIterator<Item = u64>) -> usize {
+    pub(crate) fn at_any(&self, endpoints: impl IntoIterator<Item = u64>) -> usize {
         endpoints
             .into_iter()
             .map(|endpoint| self.at(endpoint))
@@ -36,26 +36,30 @@
     }
 
     /// Returns the number of attempts at all endpoints.
-    pub fn total(&self) -> usize {
+    pub(crate) fn total(&self) -> usize {
         self.0.values().sum()
     }
 
     /// Returns whether all endpoints 0, 1, ... `endpoints - 1`, and no others, have a number of
     /// attempts within this range.
-    pub fn are_all_within(&self, endpoints: usize, range: std::ops::RangeInclusive<usize>) -> bool {
+    pub(crate) fn are_all_within(
+        &self,
+        endpoints: usize,
+        range: std::ops::RangeInclusive<usize>,
+    ) -> bool {
         self.0.len() == endpoints && self.0.values().all(|count| range.contains(count))
     }
 }
 
 /// Sends a request of a class, and returns the endpoints at which attempts start at once.
-pub fn send_request(node: &mut NodeSimulation, class: usize) -> Vec<u64> {
+pub(crate) fn send_request(node: &mut NodeSimulation, class: usize) -> Vec<u64> {
     let (_, actions) = node.request(class);
     endpoints_attempted(&actions)
 }
 
 /// Sends a request that is served at once, and returns its endpoint. `in_flight` is what the
 /// endpoint reports with its response.
-pub fn serve_one(node: &mut NodeSimulation, in_flight: f32) -> u64 {
+pub(crate) fn serve_one(node: &mut NodeSimulation, in_flight: f32) -> u64 {
     let (id, actions) = node.request(IDEMPOTENT);
     let attempted = endpoints_attempted(&actions);
     assert_eq!(
@@ -70,7 +74,7 @@
 
 /// Plays `count` requests, one every [`PLAY_TIME`]; `outcome` says how an attempt at an endpoint
 /// ends after that time. Returns the attempts at each endpoint.
-pub fn play_requests(
+pub(crate) fn play_requests(
     node: &mut NodeSimulation,
     count: usize,
     outcome: impl Fn(u64) -> Outcome,
@@ -90,7 +94,7 @@
 
 /// Returns a function for [`play_requests`] by which these endpoints have an outcome of their own,
 /// and the others serve.
-pub fn outcome_at(
+pub(crate) fn outcome_at(
     endpoints: std::ops::Range<u64>,
     outcome: Outcome,
 ) -> impl Fn(u64) -> Outcome + Clone {
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -11,14 +11,14 @@
 /// an endpoint's wall clock was stepped against this reading, its `since_ms` is off by that step,
 /// so the balancer accepts it only within what the node knows without the wall clock.
 #[derive(Clone, Copy)]
-pub struct Clock {
+pub(crate) struct Clock {
     started: Instant,
     unix_time_at_start: Duration,
 }
 
 impl Clock {
     /// Starts a clock that shows the present Unix time.
-    pub fn start() -> Self {
+    pub(crate) fn start() -> Self {
         let unix_time_at_start = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
@@ -29,12 +29,12 @@
     }
 
     /// Returns the time since the Unix epoch.
-    pub fn now(self) -> Duration {
+    pub(crate) fn now(self) -> Duration {
         self.unix_time_at_start + self.started.elapsed()
     }
 
     /// Returns the instant of the runtime at which this clock shows `time`.
-    pub fn instant(self, time: Duration) -> Instant {
+    pub(crate) fn instant(self, time: Duration) -> Instant {
         self.started + time.saturating_sub(self.unix_time_at_start)
     }
 }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -4,7 +4,7 @@
 mod error;
 mod file;
 
-pub use error::ConfigError;
+pub(crate) use error::ConfigError;
 
 use capacity::{Capacity, MIN_SOCKETS};
 use file::{ConfigFile, ResourceLimits};
@@ -18,7 +18,7 @@
 const CONFIG_VARIABLE: &str = "PROXY_CONFIG";
 
 /// A node's configuration. Its values have been checked.
-pub struct Config {
+pub(crate) struct Config {
     /// The node's name, for the log.
     pub name: String,
     /// The address on which the node listens for clients.
@@ -39,7 +39,7 @@
 
 impl Config {
     /// Reads the file that `PROXY_CONFIG` names.
-    pub fn from_env() -> Result<Self, ConfigError> {
+    pub(crate) fn from_env() -> Result<Self, ConfigError> {
         let path = std::env::var_os(CONFIG_VARIABLE).ok_or(ConfigError::VariableNotSet {
             variable: CONFIG_VARIABLE,
         })?;
@@ -51,7 +51,7 @@
     }
 
     /// Parses and checks the text of a configuration file.
-    pub fn parse(text: &str) -> Result<Self, ConfigError> {
+    pub(crate) fn parse(text: &str) -> Result<Self, ConfigError> {
         let file: ConfigFile = settings::from_json(text.as_bytes())?;
         let listen_address = parse_address("listen", &file.listen_address)?;
         let discovery_address = parse_address("discovery", &file.discovery_address)?;
@@ -73,7 +73,7 @@
 
     /// Returns the keys whose values differ in a later configuration but cannot change while the
     /// node runs. The seed is not among them, since it is new with each start.
-    pub fn changes_that_need_restart(&self, later: &Config) -> Vec<&'static str> {
+    pub(crate) fn changes_that_need_restart(&self, later: &Config) -> Vec<&'static str> {
         let keys = [
             ("name", self.name != later.name),
             ("listen", self.listen_address != later.listen_address),
--- a/crates/node/src/config/capacity.rs
+++ b/crates/node/src/config/capacity.rs
@@ -8,7 +8,7 @@
 /// One connection to a client and one to an endpoint.
 const MIN_CONNECTIONS: usize = 2;
 /// The smallest number of sockets that can be configured.
-pub const MIN_SOCKETS: usize = RESERVED_SOCKETS + MIN_CONNECTIONS;
+pub(super) const MIN_SOCKETS: usize = RESERVED_SOCKETS + MIN_CONNECTIONS;
 /// Memory for the program's code, tables and queues: several times what is measured.
 const RESERVED_BYTES: usize = 8 << 20;
 /// The most memory that a connection takes: hyper's buffers in both directions, the read-ahead, and
@@ -19,7 +19,7 @@
 
 /// The most that the node holds at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Capacity {
+pub(crate) struct Capacity {
     /// The most client connections.
     pub client_connections: usize,
     /// The most connections to endpoints.
@@ -30,7 +30,7 @@
 
 impl Capacity {
     /// Returns the capacity of a process that may open `descriptors` and use `memory_bytes`.
-    pub fn within(descriptors: usize, memory_bytes: usize) -> Self {
+    pub(crate) fn within(descriptors: usize, memory_bytes: usize) -> Self {
         let available_bytes = memory_bytes.saturating_sub(RESERVED_BYTES);
         let connections = connections(descriptors, available_bytes);
         let client_connections = connections / 2;
--- a/crates/node/src/config/error.rs
+++ b/crates/node/src/config/error.rs
@@ -9,7 +9,7 @@
 
 /// The reason for which a configuration cannot be used. Each text is one line, as the log takes it.
 #[derive(Debug, Error)]
-pub enum ConfigError {
+pub(crate) enum ConfigError {
     /// The environment does not name a configuration file.
     #[error("{variable} is not set")]
     VariableNotSet {
--- a/crates/node/src/config/file.rs
+++ b/crates/node/src/config/file.rs
@@ -5,7 +5,7 @@
 
 /// The keys of the file.
 #[derive(Deserialize)]
-pub struct ConfigFile {
+pub(super) struct ConfigFile {
     /// The node's name, for the log.
     #[serde(default)]
     pub name: String,
@@ -31,7 +31,7 @@
 /// The resources that the node may use.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default)]
-pub struct ResourceLimits {
+pub(super) struct ResourceLimits {
     /// The number of file descriptors, whatever they are open for.
     pub sockets: usize,
     /// The memory, in units of 2^20 bytes.
@@ -40,7 +40,7 @@
 
 impl ResourceLimits {
     /// Returns the memory limit in bytes.
-    pub fn memory_bytes(&self) -> usize {
+    pub(super) fn memory_bytes(&self) -> usize {
         (self.memory_mb * f64::from(1 << 20)) as usize
     }
 }
--- a/crates/node/src/discovery/backoff.rs
+++ b/crates/node/src/discovery/backoff.rs
@@ -15,19 +15,19 @@
 /// Once discovery is back, what it has to say of drains counts as known at once: a node that has
 /// stopped calling for longer than the grace, or waits for a connection that is never established,
 /// learns it too late.
-pub fn longest_wait(drain_grace: Duration) -> Duration {
+pub(super) fn longest_wait(drain_grace: Duration) -> Duration {
     (drain_grace / 4).clamp(MIN_LONGEST_WAIT, MAX_LONGEST_WAIT)
 }
 
 /// Exponential backoff with jitter, which begins anew after a call that has lasted.
-pub struct ReconnectBackoff {
+pub(super) struct ReconnectBackoff {
     backoff: Backoff,
     random: Random,
 }
 
 impl ReconnectBackoff {
     /// Returns a backoff with waits of at most `longest`, and jitter from `seed`.
-    pub fn new(longest: Duration, seed: u64) -> Self {
+    pub(super) fn new(longest: Duration, seed: u64) -> Self {
         ReconnectBackoff {
             backoff: Backoff::new(FIRST_WAIT.min(longest), longest),
             random: Random::new(seed),
@@ -35,7 +35,7 @@
     }
 
     /// Begins anew with the shortest wait.
-    pub fn reset(&mut self) {
+    pub(super) fn reset(&mut self) {
         self.backoff.reset();
     }
 
@@ -43,7 +43,7 @@
     ///
     /// A call that lasted was a success first. Its watch may have ended in place of a change, so
     /// that the next call follows at once.
-    pub fn next_wait(&mut self, lasted: Duration) -> Duration {
+    pub(super) fn next_wait(&mut self, lasted: Duration) -> Duration {
         if lasted > MAX_LONGEST_WAIT {
             self.reset();
             return Duration::ZERO;
--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -19,14 +19,14 @@
 const LIST_PATH: &str = "/registry/instances";
 
 /// Calls discovery, with a connection for each call.
-pub struct DiscoveryClient {
+pub(super) struct DiscoveryClient {
     address: SocketAddr,
     connect_timeout: Duration,
 }
 
 impl DiscoveryClient {
     /// Returns a client of the discovery service that listens at `address`.
-    pub fn new(address: SocketAddr, connect_timeout: Duration) -> Self {
+    pub(super) fn new(address: SocketAddr, connect_timeout: Duration) -> Self {
         DiscoveryClient {
             address,
             connect_timeout,
@@ -34,12 +34,12 @@
     }
 
     /// Sends calls to this address from now on.
-    pub fn set_address(&mut self, address: SocketAddr) {
+    pub(super) fn set_address(&mut self, address: SocketAddr) {
         self.address = address;
     }
 
     /// Opens a watch that begins with the changes after `version`, the one that the node has.
-    pub async fn watch(&self, version: u64) -> Result<Watch, DiscoveryError> {
+    pub(super) async fn watch(&self, version: u64) -> Result<Watch, DiscoveryError> {
         let deadline = ListDeadline::start();
         let path = format!("{LIST_PATH}?stream=1&index={version}");
         let call = deadline.limit_call(self.exchange(&path)).await?;
@@ -92,7 +92,7 @@
 }
 
 /// A watch on the endpoint list. It ends when it is dropped.
-pub struct Watch {
+pub(super) struct Watch {
     body: Incoming,
     framer: ListFramer,
     /// The time limit of what comes next, a list or a heartbeat.
@@ -102,7 +102,7 @@
 
 impl Watch {
     /// Returns the text of the next list or delta, once it has arrived whole.
-    pub async fn next_list(&mut self) -> Result<Bytes, DiscoveryError> {
+    pub(super) async fn next_list(&mut self) -> Result<Bytes, DiscoveryError> {
         loop {
             match self.framer.next_line()? {
                 Some(WatchLine::List(list)) => {
--- a/crates/node/src/discovery/client/tests.rs
+++ b/crates/node/src/discovery/client/tests.rs
@@ -41,7 +41,7 @@
         }
         stream.flush().await.expect("a node");
     }
-    std::future::pending().await
+    std::future::pending::<()>().await;
 }
 
 /// How a call and its list end that is answered with these pieces, and how long that takes.
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -17,11 +17,11 @@
 /// A list is no JSON, or lacks what every list has.
 #[derive(Debug, thiserror::Error)]
 #[error("malformed endpoint list dropped")]
-pub struct MalformedList(#[from] serde_json::Error);
+pub(super) struct MalformedList(#[from] serde_json::Error);
 
 /// Why an entry of a list was dropped.
 #[derive(Debug, thiserror::Error)]
-pub enum EntryError {
+pub(super) enum EntryError {
     /// It is no JSON object with the fields of an entry.
     #[error("malformed endpoint list entry dropped")]
     Malformed(#[from] serde_json::Error),
@@ -37,7 +37,7 @@
 
 /// A list or a change of it, its entries not parsed yet: a malformed one is dropped alone.
 #[derive(Deserialize)]
-pub struct EndpointList {
+pub(super) struct EndpointList {
     /// The version of the list that it belongs to.
     pub index: Option<u64>,
     /// Whether it is complete.
@@ -50,7 +50,7 @@
 
 impl EndpointList {
     /// Parses a list, but not its entries.
-    pub fn parse(text: &[u8]) -> Result<Self, MalformedList> {
+    pub(super) fn parse(text: &[u8]) -> Result<Self, MalformedList> {
         Ok(serde_json::from_slice(text)?)
     }
 }
@@ -97,14 +97,14 @@
 }
 
 /// Parses entries by the names that the settings list.
-pub struct EntryParser {
+pub(super) struct EntryParser {
     zone_names: Vec<String>,
     machine_type_names: Vec<String>,
 }
 
 impl EntryParser {
     /// Returns a parser for zones and machine types of these names, in the order of their numbers.
-    pub fn new(zone_names: Vec<String>, machine_type_names: Vec<String>) -> Self {
+    pub(super) fn new(zone_names: Vec<String>, machine_type_names: Vec<String>) -> Self {
         EntryParser {
             zone_names,
             machine_type_names,
@@ -112,7 +112,7 @@
     }
 
     /// Parses an entry.
-    pub fn parse(&self, entry: Value) -> Result<ListedEndpoint, EntryError> {
+    pub(super) fn parse(&self, entry: Value) -> Result<ListedEndpoint, EntryError> {
         let raw: RawEntry = serde_json::from_value(entry)?;
         let Some(zone) = self.zone(&raw.zone) else {
             return Err(EntryError::UnknownZone {
--- a/crates/node/src/discovery/error.rs
+++ b/crates/node/src/discovery/error.rs
@@ -6,7 +6,7 @@
 
 /// Why a call to discovery, or the watch that it opened, has failed.
 #[derive(Debug, thiserror::Error)]
-pub enum DiscoveryError {
+pub(super) enum DiscoveryError {
     /// The connection was not established within its timeout.
     #[error("connect timed out")]
     ConnectTimedOut,
--- a/crates/node/src/discovery/framing.rs
+++ b/crates/node/src/discovery/framing.rs
@@ -11,11 +11,11 @@
 /// A list is longer than any that makes sense.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a list without end")]
-pub struct ListTooLong;
+pub(super) struct ListTooLong;
 
 /// What a watch sends.
 #[derive(Debug, PartialEq, Eq)]
-pub enum WatchLine {
+pub(super) enum WatchLine {
     /// A complete list, or what was sent instead of one and can't be parsed.
     List(Bytes),
     /// An empty line: nothing has changed.
@@ -24,7 +24,7 @@
 
 /// Splits the data that arrives into lists.
 #[derive(Default)]
-pub struct ListFramer {
+pub(super) struct ListFramer {
     /// From the first byte of a list, or of the line that is being read.
     unread: BytesMut,
     /// Where in `unread` the line that is being read begins.
@@ -37,12 +37,12 @@
 
 impl ListFramer {
     /// Adds data that has arrived.
-    pub fn push(&mut self, data: &[u8]) {
+    pub(super) fn push(&mut self, data: &[u8]) {
         self.unread.extend_from_slice(data);
     }
 
     /// Returns the next list or heartbeat that has arrived whole; `None` until more data arrives.
-    pub fn next_line(&mut self) -> Result<Option<WatchLine>, ListTooLong> {
+    pub(super) fn next_line(&mut self) -> Result<Option<WatchLine>, ListTooLong> {
         while let Some(line_end) = self.find_line_end() {
             if let Some(line) = self.take_line(line_end) {
                 return Ok(Some(line));
--- a/crates/node/src/discovery/list_deadline.rs
+++ b/crates/node/src/discovery/list_deadline.rs
@@ -25,7 +25,7 @@
 const MIN_BYTES_PER_S: f64 = 16.0 * 1024.0;
 
 /// The time limit of the list that is awaited.
-pub struct ListDeadline {
+pub(super) struct ListDeadline {
     started: Instant,
     /// When the first bytes of the list came, and how many have come.
     arriving: Option<(Instant, usize)>,
@@ -33,7 +33,7 @@
 
 impl ListDeadline {
     /// Returns a time limit that begins now.
-    pub fn start() -> Self {
+    pub(super) fn start() -> Self {
         ListDeadline {
             started: Instant::now(),
             arriving: None,
@@ -41,7 +41,7 @@
     }
 
     /// Runs a call until its response begins, or fails with [`DiscoveryError::TimedOut`].
-    pub async fn limit_call<T>(
+    pub(super) async fn limit_call<T>(
         &self,
         call: impl Future<Output = Result<T, DiscoveryError>>,
     ) -> Result<T, DiscoveryError> {
@@ -52,7 +52,7 @@
 
     /// Returns the next part of a body; `None` at its end. Fails with [`DiscoveryError::TimedOut`]
     /// if the list is late.
-    pub async fn next_part(
+    pub(super) async fn next_part(
         &mut self,
         body: &mut Incoming,
     ) -> Result<Option<Bytes>, DiscoveryError> {
--- a/crates/node/src/discovery/mod.rs
+++ b/crates/node/src/discovery/mod.rs
@@ -28,7 +28,7 @@
 
 /// The options of discovery.
 #[derive(Clone, Debug)]
-pub struct DiscoveryOptions {
+pub(crate) struct DiscoveryOptions {
     /// Where discovery listens at first.
     pub address: SocketAddr,
     /// The endpoint list as this node last had it, in discovery's format; perhaps out of date.
@@ -46,7 +46,7 @@
 }
 
 /// Keeps the endpoint list up to date, and sends each change to the driver.
-pub struct Discovery {
+pub(crate) struct Discovery {
     client: DiscoveryClient,
     backoff: ReconnectBackoff,
     parser: EntryParser,
@@ -82,7 +82,7 @@
 
 impl Discovery {
     /// Returns a discovery that has made no call yet, and sends lists to `messages`.
-    pub fn new(options: DiscoveryOptions, messages: mpsc::Sender<Message>) -> Self {
+    pub(crate) fn new(options: DiscoveryOptions, messages: mpsc::Sender<Message>) -> Self {
         let longest_wait = longest_wait(options.drain_grace);
         Discovery {
             client: DiscoveryClient::new(options.address, 2 * longest_wait),
@@ -98,12 +98,12 @@
     }
 
     /// Returns the flag that says whether the node knows enough endpoints to serve.
-    pub fn ready(&self) -> Rc<Cell<bool>> {
+    pub(crate) fn ready(&self) -> Rc<Cell<bool>> {
         self.readiness.flag()
     }
 
     /// Keeps the list up to date. Moves to the last of `addresses` whenever that changes.
-    pub async fn run(
+    pub(crate) async fn run(
         mut self,
         commands: mpsc::Receiver<DiscoveryCommand>,
         addresses: watch_channel::Receiver<SocketAddr>,
--- a/crates/node/src/discovery/readiness.rs
+++ b/crates/node/src/discovery/readiness.rs
@@ -12,16 +12,16 @@
 
 /// A flag that is false at the start, and never false again once it is set.
 #[derive(Default)]
-pub struct Readiness(Rc<Cell<bool>>);
+pub(super) struct Readiness(Rc<Cell<bool>>);
 
 impl Readiness {
     /// Returns the flag, for the side that accepts clients.
-    pub fn flag(&self) -> Rc<Cell<bool>> {
+    pub(super) fn flag(&self) -> Rc<Cell<bool>> {
         self.0.clone()
     }
 
     /// Marks the node as ready.
-    pub fn set(&self) {
+    pub(super) fn set(&self) {
         self.0.set(true);
     }
 
@@ -29,7 +29,7 @@
     ///
     /// The node has endpoints from a cached list, which may be old: the first call may still bring
     /// a newer one before clients come.
-    pub fn set_after_first_call(&self) {
+    pub(super) fn set_after_first_call(&self) {
         let flag = self.flag();
         spawn_local(async move {
             sleep(MAX_WAIT_WITH_CACHED_LIST).await;
--- a/crates/node/src/discovery/tests/failing_discovery.rs
+++ b/crates/node/src/discovery/tests/failing_discovery.rs
@@ -9,12 +9,12 @@
 /// Discovery works through the calls of all nodes one after the other.
 const BUSY: Duration = Duration::from_millis(400);
 /// The list that discovery has.
-pub const LISTED: &str = "{\"index\":8,\"snapshot\":true,\"endpoints\":[]}\n";
+pub(super) const LISTED: &str = "{\"index\":8,\"snapshot\":true,\"endpoints\":[]}\n";
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// How discovery fails until it can be reached.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Failure {
+pub(super) enum Failure {
     /// Nobody listens on the port.
     Refused,
     /// Another status than 200.
@@ -35,7 +35,7 @@
 }
 
 /// All ways to fail.
-pub const FAILURES: [Failure; 8] = [
+pub(super) const FAILURES: [Failure; 8] = [
     Failure::Refused,
     Failure::Answered503,
     Failure::Reset,
@@ -65,7 +65,7 @@
                     &mut stream,
                     "HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n",
                 )
-                .await
+                .await;
             }
             Failure::TruncatedList => {
                 send(&mut stream, &format!("{HEAD}{}", chunk(&LISTED[..20]))).await;
@@ -103,7 +103,11 @@
 
 /// Serves calls: those that come before `reachable` fail, the next one gets the list. Returns when
 /// it has.
-pub async fn run_discovery(socket: TcpSocket, failure: Failure, reachable: Instant) -> Instant {
+pub(super) async fn run_discovery(
+    socket: TcpSocket,
+    failure: Failure,
+    reachable: Instant,
+) -> Instant {
     let mut open = Vec::new(); // what is stalled stays open
     if failure == Failure::Refused {
         sleep_until(reachable).await; // a port that is bound and not listened on
--- a/crates/node/src/discovery/tests/node.rs
+++ b/crates/node/src/discovery/tests/node.rs
@@ -12,7 +12,7 @@
 use tokio::task::{JoinHandle, spawn_local};
 
 /// Returns the configuration of a node that keeps its list up to date in this mode.
-pub fn config(address: SocketAddr, mode: &str, poll_interval: u64, seed: u64) -> Config {
+pub(super) fn config(address: SocketAddr, mode: &str, poll_interval: u64, seed: u64) -> Config {
     let text = format!(
         r#"{{"listen":"127.0.0.1:0","discovery":"{address}","seed":"{seed:x}",
         "known":{{"index":7,"snapshot":true,"endpoints":[]}},
@@ -24,14 +24,14 @@
 }
 
 /// A driver and its discovery, until this is dropped.
-pub struct TestNode {
+pub(super) struct TestNode {
     tasks: [JoinHandle<()>; 2],
     _address_changes: watch::Sender<SocketAddr>,
 }
 
 impl TestNode {
     /// Starts the parts that the configuration describes.
-    pub fn start(config: &Config) -> Self {
+    pub(super) fn start(config: &Config) -> Self {
         let clock = Clock::start();
         let (messages, mut inbox) = mpsc::channel(64);
         let (commands, discovery_commands) = mpsc::channel(16);
--- a/crates/node/src/downstream/admission.rs
+++ b/crates/node/src/downstream/admission.rs
@@ -18,7 +18,7 @@
 use tokio::time::Instant;
 
 /// Admits requests.
-pub struct Admission {
+pub(super) struct Admission {
     clock: Clock,
     /// The memory for the bodies of requests and responses.
     budget: Budget,
@@ -29,7 +29,7 @@
 }
 
 /// A request that has been read to its last byte.
-pub struct ReceivedRequest {
+pub(super) struct ReceivedRequest {
     /// The parsed head.
     pub head: ParsedRequest,
     /// The body, together with its lease of the memory budget.
@@ -39,7 +39,7 @@
 }
 
 /// A request that may be passed to the driver.
-pub struct AdmittedRequest<'a> {
+pub(super) struct AdmittedRequest<'a> {
     /// The request.
     pub request: ReceivedRequest,
     /// Keeps the request's call id in use.
@@ -49,7 +49,7 @@
 impl Admission {
     /// Creates an admission that leases memory from the budget. Requests that it sheds get
     /// `retry_after` as their Retry-After.
-    pub fn new(
+    pub(super) fn new(
         clock: Clock,
         budget: Budget,
         phase: Rc<Cell<ShutdownPhase>>,
@@ -70,7 +70,7 @@
     ///
     /// Rejects the request if there is no memory for its body, if the body does not arrive whole
     /// and in time, if further requests are shed, or if its call id is in use.
-    pub async fn admit(
+    pub(super) async fn admit(
         &self,
         head: ParsedRequest,
         body: Incoming,
--- a/crates/node/src/downstream/connection.rs
+++ b/crates/node/src/downstream/connection.rs
@@ -8,7 +8,7 @@
 
 /// The state of a connection.
 #[derive(Clone, Copy, PartialEq)]
-pub enum ConnectionState {
+pub(super) enum ConnectionState {
     /// No request is being served. A part of the next one's head may have been read.
     Idle {
         /// When the connection was accepted or the last request got its response.
@@ -24,7 +24,7 @@
 }
 
 /// A client's connection.
-pub struct Connection {
+pub(super) struct Connection {
     socket: Handle,
     accepted: Instant,
     /// Whether the client has ever sent a request's head that could be read.
@@ -36,7 +36,7 @@
 
 impl Connection {
     /// Creates the state of a connection that has just been accepted.
-    pub fn new(socket: Handle) -> Self {
+    pub(super) fn new(socket: Handle) -> Self {
         let accepted = Instant::now();
         Connection {
             socket,
@@ -49,7 +49,7 @@
     }
 
     /// Records that a request's head has been read. Returns when the request started.
-    pub fn begin_request(&self) -> Instant {
+    pub(super) fn begin_request(&self) -> Instant {
         let started = self.request_started();
         self.has_sent_request.set(true);
         self.state.set(ConnectionState::Serving);
@@ -57,7 +57,7 @@
     }
 
     /// Records that the request has its response, after which the connection is kept.
-    pub fn end_request(&self) {
+    pub(super) fn end_request(&self) {
         self.socket.reset_first_byte();
         self.state.set(ConnectionState::Idle {
             since: Instant::now(),
@@ -65,64 +65,64 @@
     }
 
     /// Records that the request has its response, which is the last one on this connection.
-    pub fn end_last_request(&self) {
+    pub(super) fn end_last_request(&self) {
         self.socket.reset_first_byte();
         self.start_closing();
     }
 
     /// Closes the connection between requests. It is aborted if its client does not end it in time.
-    pub fn close(&self) {
+    pub(super) fn close(&self) {
         self.start_closing();
         self.shut_down_gracefully();
     }
 
     /// Asks the HTTP layer to end the connection as soon as it can.
-    pub fn shut_down_gracefully(&self) {
+    pub(super) fn shut_down_gracefully(&self) {
         self.shutdown.notify_one();
     }
 
     /// Ends the connection at once.
-    pub fn abort(&self) {
+    pub(super) fn abort(&self) {
         self.abort.notify_one();
     }
 
     /// Waits until the connection is to be ended gracefully.
-    pub async fn shutdown_requested(&self) {
+    pub(super) async fn shutdown_requested(&self) {
         self.shutdown.notified().await;
     }
 
     /// Waits until the connection is to be ended at once.
-    pub async fn abort_requested(&self) {
+    pub(super) async fn abort_requested(&self) {
         self.abort.notified().await;
     }
 
     /// Completes once the client has disconnected while its request was being served. At other
     /// times the HTTP layer notices the disconnect itself, and this never completes.
-    pub async fn client_disconnected(&self) {
+    pub(super) async fn client_disconnected(&self) {
         self.socket.peer_closed().await;
         if self.state() != ConnectionState::Serving {
-            std::future::pending().await
+            std::future::pending::<()>().await;
         }
     }
 
     /// Returns the state.
-    pub fn state(&self) -> ConnectionState {
+    pub(super) fn state(&self) -> ConnectionState {
         self.state.get()
     }
 
     /// Returns whether the client has ever sent a request's head that could be read.
-    pub fn has_sent_request(&self) -> bool {
+    pub(super) fn has_sent_request(&self) -> bool {
         self.has_sent_request.get()
     }
 
     /// Returns the time since the accept.
-    pub fn age(&self) -> Duration {
+    pub(super) fn age(&self) -> Duration {
         self.accepted.elapsed()
     }
 
     /// Returns when the request that is being read started: the first one with the accept, a later
     /// one with its first byte.
-    pub fn request_started(&self) -> Option<Instant> {
+    pub(super) fn request_started(&self) -> Option<Instant> {
         if self.has_sent_request() {
             self.socket.first_byte_at()
         } else {
@@ -131,7 +131,7 @@
     }
 
     /// Returns since when the connection has been closing, if it is.
-    pub fn closing_since(&self) -> Option<Instant> {
+    pub(super) fn closing_since(&self) -> Option<Instant> {
         match self.state() {
             ConnectionState::Closing { since } => Some(since),
             ConnectionState::Idle { .. } | ConnectionState::Serving => None,
@@ -140,7 +140,7 @@
 
     /// Returns since when the connection has been idle with no byte of a further request read, if
     /// it is.
-    pub fn idle_since(&self) -> Option<Instant> {
+    pub(super) fn idle_since(&self) -> Option<Instant> {
         match self.state() {
             ConnectionState::Idle { since } if self.socket.first_byte_at().is_none() => Some(since),
             ConnectionState::Idle { .. }
@@ -150,7 +150,7 @@
     }
 
     /// Returns whether the kernel has no unread bytes for this connection. Takes a system call.
-    pub fn has_nothing_to_read(&self) -> bool {
+    pub(super) fn has_nothing_to_read(&self) -> bool {
         self.socket.has_nothing_to_read()
     }
 
--- a/crates/node/src/downstream/connection_registry.rs
+++ b/crates/node/src/downstream/connection_registry.rs
@@ -10,7 +10,7 @@
 use tokio::time::{Instant, sleep};
 
 /// All open client connections.
-pub struct ConnectionRegistry {
+pub(super) struct ConnectionRegistry {
     connections: RefCell<BTreeMap<u64, Rc<Connection>>>,
     last_id: Cell<u64>,
     max_connections: usize,
@@ -20,7 +20,7 @@
 
 impl ConnectionRegistry {
     /// Creates an empty registry that is full with `max_connections`.
-    pub fn new(max_connections: usize) -> Self {
+    pub(super) fn new(max_connections: usize) -> Self {
         ConnectionRegistry {
             connections: RefCell::default(),
             last_id: Cell::new(0),
@@ -30,7 +30,7 @@
     }
 
     /// Registers a connection until the returned guard is dropped.
-    pub fn register(self: &Rc<Self>, connection: Rc<Connection>) -> RegistrationGuard {
+    pub(super) fn register(self: &Rc<Self>, connection: Rc<Connection>) -> RegistrationGuard {
         let id = self.last_id.get() + 1;
         self.last_id.set(id);
         self.connections.borrow_mut().insert(id, connection);
@@ -41,37 +41,37 @@
     }
 
     /// Returns whether the limit is reached.
-    pub fn is_full(&self) -> bool {
+    pub(super) fn is_full(&self) -> bool {
         self.connections.borrow().len() >= self.max_connections
     }
 
     /// Notifies the registry that a connection has become idle. It can be evicted if the registry
     /// is full.
-    pub fn notify_idle(&self) {
+    pub(super) fn notify_idle(&self) {
         if self.is_full() {
             self.changed.notify_one();
         }
     }
 
     /// Waits until a connection has ended, or can be evicted.
-    pub async fn changed(&self) {
+    pub(super) async fn changed(&self) {
         self.changed.notified().await;
     }
 
     /// Waits until no connection is left.
-    pub async fn wait_until_empty(&self) {
+    pub(super) async fn wait_until_empty(&self) {
         while !self.connections.borrow().is_empty() {
             self.changed().await;
         }
     }
 
     /// Makes room for a new connection by closing an idle one, unless one is closing already.
-    pub fn evict_one(&self, reason: EvictionReason) {
+    pub(super) fn evict_one(&self, reason: EvictionReason) {
         eviction::evict_one(self.connections.borrow().values(), reason);
     }
 
     /// Closes all idle connections. The others close with their next response.
-    pub fn shut_down_idle(&self) {
+    pub(super) fn shut_down_idle(&self) {
         for connection in self.connections.borrow().values() {
             if connection.idle_since().is_some() && connection.has_nothing_to_read() {
                 connection.shut_down_gracefully();
@@ -80,7 +80,7 @@
     }
 
     /// Enforces the timeouts of all connections, forever.
-    pub async fn enforce_timeouts(self: Rc<Self>) {
+    pub(super) async fn enforce_timeouts(self: Rc<Self>) {
         loop {
             sleep(timeouts::CHECK_INTERVAL).await;
             let now = Instant::now();
@@ -92,7 +92,7 @@
 }
 
 /// Keeps a connection registered until it is dropped.
-pub struct RegistrationGuard {
+pub(super) struct RegistrationGuard {
     registry: Rc<ConnectionRegistry>,
     id: u64,
 }
--- a/crates/node/src/downstream/disconnect_guard.rs
+++ b/crates/node/src/downstream/disconnect_guard.rs
@@ -7,7 +7,7 @@
 /// Reports the client's disconnect to the driver when it is dropped, unless it has been disarmed.
 /// When a client disconnects, the future that handles its request is dropped, and this guard with
 /// it.
-pub struct DisconnectGuard {
+pub(super) struct DisconnectGuard {
     id: RequestId,
     /// The slot in the driver's inbox for the report; `None` once disarmed.
     permit: Option<mpsc::OwnedPermit<Message>>,
@@ -15,7 +15,7 @@
 
 impl DisconnectGuard {
     /// Creates an armed guard for the request, with a slot in the driver's inbox for its report.
-    pub fn new(id: RequestId, permit: mpsc::OwnedPermit<Message>) -> Self {
+    pub(super) fn new(id: RequestId, permit: mpsc::OwnedPermit<Message>) -> Self {
         DisconnectGuard {
             id,
             permit: Some(permit),
@@ -23,7 +23,7 @@
     }
 
     /// Gives the slot back. A disconnect is no longer reported.
-    pub fn disarm(&mut self) {
+    pub(super) fn disarm(&mut self) {
         self.permit = None;
     }
 }
--- a/crates/node/src/downstream/driver_handle.rs
+++ b/crates/node/src/downstream/driver_handle.rs
@@ -8,14 +8,14 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// Passes requests to the driver.
-pub struct DriverHandle {
+pub(super) struct DriverHandle {
     inbox: mpsc::Sender<Message>,
     last_request_id: Cell<u64>,
 }
 
 impl DriverHandle {
     /// Creates a handle for the driver with this inbox.
-    pub fn new(inbox: mpsc::Sender<Message>) -> Self {
+    pub(super) fn new(inbox: mpsc::Sender<Message>) -> Self {
         DriverHandle {
             inbox,
             last_request_id: Cell::new(0),
@@ -24,7 +24,7 @@
 
     /// Passes a request to the driver, and waits for its final response. If the returned future is
     /// dropped before that, the driver is told that the client has disconnected.
-    pub async fn submit(&self, admitted: AdmittedRequest<'_>) -> FinalResponse {
+    pub(super) async fn submit(&self, admitted: AdmittedRequest<'_>) -> FinalResponse {
         let AdmittedRequest {
             request,
             call_id_reservation: _reservation,
--- a/crates/node/src/downstream/eviction.rs
+++ b/crates/node/src/downstream/eviction.rs
@@ -13,7 +13,7 @@
 
 /// Why an idle connection is evicted. The reason decides the order.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum EvictionReason {
+pub(super) enum EvictionReason {
     /// A client has connected while the registry is full. Silent clients go first, however new they
     /// are: a crowd of them does not displace the clients that are served.
     RegistryFull,
@@ -42,7 +42,7 @@
 
 /// Makes room for a new connection by closing an idle one. If a connection is closing already,
 /// closes no other, and aborts that one if it has been closing for longer than [`CLOSING_GRACE`].
-pub fn evict_one<'a>(
+pub(super) fn evict_one<'a>(
     connections: impl Iterator<Item = &'a Rc<Connection>> + Clone,
     reason: EvictionReason,
 ) {
--- a/crates/node/src/downstream/graceful_shutdown.rs
+++ b/crates/node/src/downstream/graceful_shutdown.rs
@@ -27,7 +27,7 @@
 const FINAL_CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Shuts the downstream side down without losing a request that it has accepted.
-pub struct GracefulShutdown {
+pub(super) struct GracefulShutdown {
     /// The phase, which the other parts read.
     pub phase: Rc<Cell<ShutdownPhase>>,
     /// The connections that are drained.
@@ -43,7 +43,7 @@
 impl GracefulShutdown {
     /// Drains: accepts the last connections, serves every request on them, and waits until all
     /// connections have ended.
-    pub async fn drain(&self, mut acceptor: Acceptor<impl Listener>) {
+    pub(super) async fn drain(&self, mut acceptor: Acceptor<impl Listener>) {
         self.phase.set(ShutdownPhase::Draining);
         let _ = timeout(DRAIN_ACCEPT_PERIOD, acceptor.run()).await;
         acceptor.finish().await;
--- a/crates/node/src/downstream/http_server.rs
+++ b/crates/node/src/downstream/http_server.rs
@@ -22,7 +22,7 @@
 use tokio::task::spawn_local;
 
 /// Serves connections with one request handler.
-pub struct HttpServer {
+pub(super) struct HttpServer {
     handler: RequestHandler,
     registry: Rc<ConnectionRegistry>,
     phase: Rc<Cell<ShutdownPhase>>,
@@ -30,7 +30,7 @@
 
 impl HttpServer {
     /// Creates a server whose connections are kept in the registry.
-    pub fn new(
+    pub(super) fn new(
         handler: RequestHandler,
         registry: Rc<ConnectionRegistry>,
         phase: Rc<Cell<ShutdownPhase>>,
@@ -43,12 +43,12 @@
     }
 
     /// Returns the registry of the connections.
-    pub fn registry(&self) -> &ConnectionRegistry {
+    pub(super) fn registry(&self) -> &ConnectionRegistry {
         &self.registry
     }
 
     /// Serves a connection in a task of its own, until it ends.
-    pub fn serve(self: &Rc<Self>, stream: TcpStream) {
+    pub(super) fn serve(self: &Rc<Self>, stream: TcpStream) {
         let (socket, handle) = Socket::new(stream);
         let connection = Rc::new(Connection::new(handle));
         let registration = self.registry.register(connection.clone());
--- a/crates/node/src/downstream/in_flight_call_ids.rs
+++ b/crates/node/src/downstream/in_flight_call_ids.rs
@@ -7,13 +7,13 @@
 
 /// The set of the call ids that are in use.
 #[derive(Default)]
-pub struct InFlightCallIds {
+pub(super) struct InFlightCallIds {
     ids: RefCell<HashSet<HeaderValue>>,
 }
 
 impl InFlightCallIds {
     /// Reserves an id until the returned guard is dropped. Returns `None` if the id is in use.
-    pub fn reserve(&self, id: &HeaderValue) -> Option<CallIdReservation<'_>> {
+    pub(super) fn reserve(&self, id: &HeaderValue) -> Option<CallIdReservation<'_>> {
         let is_new = self.ids.borrow_mut().insert(id.clone());
         is_new.then(|| CallIdReservation {
             in_flight: self,
@@ -23,7 +23,7 @@
 }
 
 /// Keeps a call id in use until it is dropped.
-pub struct CallIdReservation<'a> {
+pub(super) struct CallIdReservation<'a> {
     in_flight: &'a InFlightCallIds,
     id: HeaderValue,
 }
--- a/crates/node/src/downstream/listener.rs
+++ b/crates/node/src/downstream/listener.rs
@@ -24,7 +24,7 @@
 const MAX_LAST_FAILURES: u32 = 16;
 
 /// A source of new connections.
-pub trait Listener {
+pub(super) trait Listener {
     /// Accepts one connection. May be cancelled, and loses no connection then.
     ///
     /// # Errors
@@ -41,7 +41,7 @@
 }
 
 /// Accepts connections and hands them to the server.
-pub struct Acceptor<L> {
+pub(super) struct Acceptor<L> {
     listener: L,
     server: Rc<HttpServer>,
     /// An accepted connection that waits until the registry is not full. It survives the
@@ -51,7 +51,7 @@
 
 impl<L: Listener> Acceptor<L> {
     /// Creates an acceptor for the listener's connections.
-    pub fn new(listener: L, server: Rc<HttpServer>) -> Self {
+    pub(super) fn new(listener: L, server: Rc<HttpServer>) -> Self {
         Acceptor {
             listener,
             server,
@@ -60,7 +60,7 @@
     }
 
     /// Accepts connections forever. May be cancelled and run again.
-    pub async fn run(&mut self) {
+    pub(super) async fn run(&mut self) {
         loop {
             if self.pending.is_none() {
                 self.accept().await;
@@ -75,7 +75,7 @@
     /// Serves the connections that are pending or in the kernel's accept queue, even if the
     /// registry is full, and closes the listener. Clients may have sent requests on queued
     /// connections, which closing would reset.
-    pub async fn finish(mut self) {
+    pub(super) async fn finish(mut self) {
         self.serve_pending();
         let mut failures = 0;
         for _ in 0..MAX_QUEUED_CONNECTIONS {
--- a/crates/node/src/downstream/listener/accept_error.rs
+++ b/crates/node/src/downstream/listener/accept_error.rs
@@ -6,7 +6,7 @@
 /// What a failed accept means for the connections that are open. Linux documents the errors in
 /// accept(2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AcceptErrorKind {
+pub(super) enum AcceptErrorKind {
     /// This process has no file descriptor left. Closing a connection helps.
     OutOfDescriptors,
     /// The system lacks a resource that this process cannot free.
--- a/crates/node/src/downstream/mod.rs
+++ b/crates/node/src/downstream/mod.rs
@@ -29,7 +29,7 @@
 mod shutdown_phase;
 mod timeouts;
 
-pub use options::{DownstreamOptions, RequestClass};
+pub(crate) use options::{DownstreamOptions, RequestClass};
 
 use crate::clock::Clock;
 use crate::logging::log;
@@ -51,7 +51,7 @@
 use tokio::task::spawn_local;
 
 /// The downstream side of a node.
-pub struct Downstream {
+pub(crate) struct Downstream {
     server: Rc<HttpServer>,
     registry: Rc<ConnectionRegistry>,
     graceful_shutdown: GracefulShutdown,
@@ -60,7 +60,7 @@
 impl Downstream {
     /// Creates a downstream side that passes requests to the driver. `is_ready` says whether the
     /// node has an endpoint list.
-    pub fn new(
+    pub(crate) fn new(
         clock: Clock,
         options: DownstreamOptions,
         budget: Budget,
@@ -88,7 +88,7 @@
     }
 
     /// Serves clients until `shutdown` completes, then drains.
-    pub async fn run(self, listener: TcpListener, shutdown: impl Future<Output = ()>) {
+    pub(crate) async fn run(self, listener: TcpListener, shutdown: impl Future<Output = ()>) {
         spawn_local(self.registry.clone().enforce_timeouts());
         let mut acceptor = Acceptor::new(listener, self.server.clone());
         tokio::select! {
--- a/crates/node/src/downstream/options.rs
+++ b/crates/node/src/downstream/options.rs
@@ -5,7 +5,7 @@
 
 /// The options of the downstream side.
 #[derive(Clone, Debug)]
-pub struct DownstreamOptions {
+pub(crate) struct DownstreamOptions {
     /// The greatest number of client connections.
     pub max_connections: usize,
     /// The classes of requests, in the order of their numbers.
@@ -19,7 +19,7 @@
 
 impl DownstreamOptions {
     /// Returns the longest time that a client of any class waits; zero if there is no class.
-    pub fn longest_deadline(&self) -> Duration {
+    pub(crate) fn longest_deadline(&self) -> Duration {
         self.classes
             .iter()
             .map(|class| class.deadline)
@@ -30,7 +30,7 @@
 
 /// A class of requests.
 #[derive(Clone, Debug)]
-pub struct RequestClass {
+pub(crate) struct RequestClass {
     /// The first segment of its paths.
     pub name: String,
     /// Whether a request may be repeated. This decides its method and headers.
--- a/crates/node/src/downstream/rejection.rs
+++ b/crates/node/src/downstream/rejection.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 /// Why a request is rejected without being passed to the driver.
-pub enum Rejection {
+pub(super) enum Rejection {
     /// The request does not follow the protocol, or was not read in time.
     Invalid(RequestError),
     /// The node cannot serve the request now: there is no memory for its body, or the shutdown
@@ -19,7 +19,7 @@
 impl Rejection {
     /// Returns whether the connection can carry another request. After an invalid request it is
     /// unknown where the next one begins.
-    pub fn keeps_connection(&self) -> bool {
+    pub(super) fn keeps_connection(&self) -> bool {
         match self {
             Rejection::Invalid(_) => false,
             Rejection::Shed { .. } => true,
@@ -27,7 +27,7 @@
     }
 
     /// Converts the rejection to the response that the client gets.
-    pub fn into_response(self) -> FullResponse {
+    pub(super) fn into_response(self) -> FullResponse {
         match self {
             Rejection::Invalid(error) => response::with_text(error.status(), error.to_string()),
             Rejection::Shed { retry_after } => response::service_unavailable(retry_after),
--- a/crates/node/src/downstream/request_body.rs
+++ b/crates/node/src/downstream/request_body.rs
@@ -22,7 +22,7 @@
 ///
 /// Returns [`RequestError::ReadTimeout`] if the deadline passes, and
 /// [`RequestError::IncompleteBody`] if the body cannot be read or has another length.
-pub async fn read(
+pub(super) async fn read(
     mut body: Incoming,
     length: usize,
     lease: Lease,
@@ -58,7 +58,7 @@
 /// Reads and drops the body of a rejected request in a task of its own, within limits of size and
 /// time. If the connection was closed with bytes unread, it would be reset, and its client might
 /// not see the response.
-pub fn discard_in_background(body: Incoming) {
+pub(super) fn discard_in_background(body: Incoming) {
     let deadline = Instant::now() + DISCARD_TIMEOUT;
     spawn_local(discard(body, MAX_DISCARDED_BYTES, deadline));
 }
--- a/crates/node/src/downstream/request_error.rs
+++ b/crates/node/src/downstream/request_error.rs
@@ -5,7 +5,7 @@
 
 /// Why a request is invalid. The text is the body of the response, and part of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum RequestError {
+pub(super) enum RequestError {
     /// The head has a Transfer-Encoding. With a Content-Length beside it, it may hide a second
     /// request in the body; no client of the service needs it.
     #[error("no Transfer-Encoding, please")]
@@ -56,7 +56,7 @@
 
 impl RequestError {
     /// Returns the status of the response.
-    pub fn status(self) -> StatusCode {
+    pub(super) fn status(self) -> StatusCode {
         match self {
             RequestError::TransferEncoding => StatusCode::LENGTH_REQUIRED,
             RequestError::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
--- a/crates/node/src/downstream/request_handler.rs
+++ b/crates/node/src/downstream/request_handler.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 
 /// Handles the requests of all connections.
-pub struct RequestHandler {
+pub(super) struct RequestHandler {
     options: DownstreamOptions,
     readiness_check: ReadinessCheck,
     admission: Admission,
@@ -32,7 +32,7 @@
 
 impl RequestHandler {
     /// Creates a handler that passes admitted requests to the driver.
-    pub fn new(
+    pub(super) fn new(
         options: DownstreamOptions,
         readiness_check: ReadinessCheck,
         admission: Admission,
@@ -52,7 +52,7 @@
     /// # Errors
     ///
     /// Returns why the request is rejected without being passed to the driver.
-    pub async fn handle(
+    pub(super) async fn handle(
         &self,
         request: Request<Incoming>,
         read_deadline: Instant,
--- a/crates/node/src/downstream/request_headers.rs
+++ b/crates/node/src/downstream/request_headers.rs
@@ -30,7 +30,7 @@
 /// # Errors
 ///
 /// Returns [`RequestError::RepeatedHeader`] if one is.
-pub fn check_unique(headers: &HeaderMap) -> Result<(), RequestError> {
+pub(super) fn check_unique(headers: &HeaderMap) -> Result<(), RequestError> {
     let is_repeated = |name: &str| headers.get_all(name).iter().nth(1).is_some();
     if UNIQUE_HEADERS.into_iter().any(is_repeated) {
         return Err(RequestError::RepeatedHeader);
@@ -43,7 +43,7 @@
 /// # Errors
 ///
 /// Returns [`RequestError::InvalidCallId`] if there is none, or if it is empty or too long.
-pub fn call_id(headers: &HeaderMap) -> Result<HeaderValue, RequestError> {
+pub(super) fn call_id(headers: &HeaderMap) -> Result<HeaderValue, RequestError> {
     match headers.get(CALL_ID) {
         Some(id) if (1..=MAX_CALL_ID_BYTES).contains(&id.len()) => Ok(id.clone()),
         _ => Err(RequestError::InvalidCallId),
@@ -51,7 +51,7 @@
 }
 
 /// Returns the idempotency key, if there is one.
-pub fn idempotency_key(headers: &HeaderMap) -> Option<HeaderValue> {
+pub(super) fn idempotency_key(headers: &HeaderMap) -> Option<HeaderValue> {
     headers.get(IDEMPOTENCY_KEY).cloned()
 }
 
@@ -61,7 +61,7 @@
 ///
 /// Returns [`RequestError::InvalidBudget`] if there is no number of milliseconds from 1 to
 /// [`MAX_BUDGET_MS`].
-pub fn budget(headers: &HeaderMap) -> Result<Duration, RequestError> {
+pub(super) fn budget(headers: &HeaderMap) -> Result<Duration, RequestError> {
     let milliseconds = text(headers, BUDGET_MS).and_then(|text| text.parse::<u64>().ok());
     match milliseconds {
         Some(ms) if (1..=MAX_BUDGET_MS).contains(&ms) => Ok(Duration::from_millis(ms)),
@@ -70,18 +70,18 @@
 }
 
 /// Returns the name of the tenant, if there is one.
-pub fn tenant_name(headers: &HeaderMap) -> Option<&str> {
+pub(super) fn tenant_name(headers: &HeaderMap) -> Option<&str> {
     text(headers, CALLER)
 }
 
 /// Returns the expected work, if the client states it as a number.
-pub fn cost(headers: &HeaderMap) -> Option<Duration> {
+pub(super) fn cost(headers: &HeaderMap) -> Option<Duration> {
     let microseconds = text(headers, CALL_COST)?.parse().ok()?;
     Some(Duration::from_micros(microseconds))
 }
 
 /// Returns whether the client says that it repeats an earlier request.
-pub fn is_client_retry(headers: &HeaderMap) -> bool {
+pub(super) fn is_client_retry(headers: &HeaderMap) -> bool {
     headers.get(CLIENT_RETRY).is_some_and(|value| value == "1")
 }
 
--- a/crates/node/src/downstream/request_parser.rs
+++ b/crates/node/src/downstream/request_parser.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 /// A request whose head has been checked.
-pub struct ParsedRequest {
+pub(super) struct ParsedRequest {
     /// The method, which is forwarded.
     pub method: Method,
     /// The path and query, which are forwarded.
@@ -48,7 +48,7 @@
 /// # Errors
 ///
 /// Rejects a body without a stated length or with one above the protocol's limit.
-pub fn body_length(head: &Parts, body: &Incoming) -> Result<usize, RequestError> {
+pub(super) fn body_length(head: &Parts, body: &Incoming) -> Result<usize, RequestError> {
     if head.headers.contains_key(TRANSFER_ENCODING) {
         return Err(RequestError::TransferEncoding);
     }
@@ -67,7 +67,7 @@
 /// # Errors
 ///
 /// Rejects every head that does not follow the protocol, so that it never reaches an endpoint.
-pub fn parse(
+pub(super) fn parse(
     options: &DownstreamOptions,
     head: Parts,
     body_length: usize,
--- a/crates/node/src/downstream/response.rs
+++ b/crates/node/src/downstream/response.rs
@@ -8,21 +8,21 @@
 use std::time::Duration;
 
 /// A response whose body is in memory.
-pub type FullResponse = Response<Full<Bytes>>;
+pub(super) type FullResponse = Response<Full<Bytes>>;
 
 /// Returns a response without a body.
-pub fn without_body(status: StatusCode) -> FullResponse {
+pub(super) fn without_body(status: StatusCode) -> FullResponse {
     with_body(status, Bytes::new())
 }
 
 /// Returns a response whose body is the text.
-pub fn with_text(status: StatusCode, text: String) -> FullResponse {
+pub(super) fn with_text(status: StatusCode, text: String) -> FullResponse {
     with_body(status, Bytes::from(text))
 }
 
 /// Returns the response to a request that is shed: status 503, with the time after which the client
 /// may retry, in seconds with three decimals.
-pub fn service_unavailable(retry_after: Option<Duration>) -> FullResponse {
+pub(super) fn service_unavailable(retry_after: Option<Duration>) -> FullResponse {
     let mut response = without_body(StatusCode::SERVICE_UNAVAILABLE);
     let seconds = retry_after.map(|after| format!("{:.3}", after.as_secs_f64()));
     if let Some(Ok(value)) = seconds.map(HeaderValue::try_from) {
@@ -32,7 +32,7 @@
 }
 
 /// Converts a request's final response to HTTP.
-pub fn from_final_response(final_response: FinalResponse) -> FullResponse {
+pub(super) fn from_final_response(final_response: FinalResponse) -> FullResponse {
     match final_response {
         FinalResponse::Served(body) => with_body(StatusCode::OK, body),
         FinalResponse::Shed(retry_after) => service_unavailable(retry_after),
--- a/crates/node/src/downstream/timeouts.rs
+++ b/crates/node/src/downstream/timeouts.rs
@@ -5,11 +5,11 @@
 use tokio::time::Instant;
 
 /// How often the timeouts of all connections are enforced.
-pub const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+pub(super) const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a client may take from the start of a request to its last byte. The first request
 /// starts with the accept, a later one with its first byte. Together with [`CHECK_INTERVAL`], a
 /// slow client is closed within 3 s.
-pub const READ_TIMEOUT: Duration = Duration::from_secs(2);
+pub(super) const READ_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a connection without a request is kept. Its client may send another one.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long a client may take to end a connection that is closing.
@@ -28,7 +28,7 @@
 /// Aborts or closes the connection if one of its timeouts has passed. A connection with unread
 /// bytes is not aborted for a late request: if this node was delayed itself, the request may have
 /// arrived in time.
-pub fn enforce(connection: &Connection, now: Instant) {
+pub(super) fn enforce(connection: &Connection, now: Instant) {
     match passed_timeout(connection, now) {
         Some(PassedTimeout::Read) if connection.has_nothing_to_read() => connection.abort(),
         Some(PassedTimeout::Read) => {}
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -27,7 +27,7 @@
 use tokio::time::sleep_until;
 
 /// The options of the driver.
-pub struct DriverOptions {
+pub(crate) struct DriverOptions {
     /// The balancer's settings.
     pub settings: Settings,
     /// The seed of the balancer's random choices.
@@ -35,7 +35,7 @@
 }
 
 /// The channels on which the driver sends.
-pub struct DriverChannels {
+pub(crate) struct DriverChannels {
     /// Leads to the driver's own inbox, for the tasks that it spawns.
     pub messages: mpsc::Sender<Message>,
     /// Leads to discovery.
@@ -43,7 +43,7 @@
 }
 
 /// Runs the balancer, and carries out what it decides.
-pub struct Driver {
+pub(crate) struct Driver {
     clock: Clock,
     balancer: Balancer,
     upstream: Rc<Upstream>,
@@ -55,7 +55,7 @@
 
 impl Driver {
     /// Creates a driver without requests.
-    pub fn new(
+    pub(crate) fn new(
         clock: Clock,
         options: DriverOptions,
         upstream: Rc<Upstream>,
@@ -75,7 +75,7 @@
     }
 
     /// Handles messages and timers until the inbox is closed.
-    pub async fn run(&mut self, inbox: &mut mpsc::Receiver<Message>) {
+    pub(crate) async fn run(&mut self, inbox: &mut mpsc::Receiver<Message>) {
         loop {
             let next_due = self.requests.next_due();
             let timer = sleep_until(self.clock.instant(next_due.unwrap_or_default()));
--- a/crates/node/src/driver/request_table.rs
+++ b/crates/node/src/driver/request_table.rs
@@ -7,7 +7,7 @@
 mod attempt;
 mod in_flight_request;
 
-pub use in_flight_request::NewAttempt;
+pub(super) use in_flight_request::NewAttempt;
 
 use super::timer_queue::{DriverTimer, TimerQueue};
 use crate::message::{AttemptId, FinalResponse, StopReason, UpstreamRequest};
@@ -22,7 +22,7 @@
 /// The number of entries in a table.
 #[cfg(test)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct RequestTableUsage {
+pub(super) struct RequestTableUsage {
     /// Requests in flight.
     pub requests: usize,
     /// Pending timers.
@@ -31,7 +31,7 @@
 
 /// The requests in flight, which await their final response or the end of an attempt, and all
 /// pending timers.
-pub struct RequestTable {
+pub(super) struct RequestTable {
     max_attempts: usize,
     requests: BTreeMap<RequestId, InFlightRequest>,
     timers: TimerQueue,
@@ -39,7 +39,7 @@
 
 impl RequestTable {
     /// Creates an empty table. Each request may have up to `max_attempts` attempts.
-    pub fn new(max_attempts: usize) -> Self {
+    pub(super) fn new(max_attempts: usize) -> Self {
         RequestTable {
             max_attempts,
             requests: BTreeMap::new(),
@@ -48,7 +48,7 @@
     }
 
     /// Adds a request, which awaits its final response.
-    pub fn insert(
+    pub(super) fn insert(
         &mut self,
         id: RequestId,
         upstream_request: UpstreamRequest,
@@ -60,7 +60,7 @@
 
     /// Sends the final response to the client's handler. No other function does. Returns whether
     /// the request awaited it.
-    pub fn respond(&mut self, id: RequestId, response: FinalResponse) -> bool {
+    pub(super) fn respond(&mut self, id: RequestId, response: FinalResponse) -> bool {
         let Some(response_sender) = self.take_response_sender(id) else {
             return false;
         };
@@ -71,7 +71,7 @@
 
     /// Records that the client has disconnected, and needs no response. Returns whether the request
     /// awaited one.
-    pub fn client_disconnected(&mut self, id: RequestId) -> bool {
+    pub(super) fn client_disconnected(&mut self, id: RequestId) -> bool {
         self.take_response_sender(id).is_some()
     }
 
@@ -84,7 +84,7 @@
 
     /// Starts a further attempt of a request, if it is permitted; `None` if the request is not in
     /// flight.
-    pub fn start_attempt(
+    pub(super) fn start_attempt(
         &mut self,
         id: RequestId,
         endpoint: EndpointId,
@@ -95,14 +95,14 @@
     }
 
     /// Tells an attempt in flight to stop. Its outcome is still reported.
-    pub fn stop_attempt(&mut self, id: AttemptId, reason: StopReason) {
+    pub(super) fn stop_attempt(&mut self, id: AttemptId, reason: StopReason) {
         if let Some(request) = self.requests.get_mut(&id.request) {
             request.stop_attempt(id.number, reason);
         }
     }
 
     /// Ends an attempt; `None` if it is unknown or had ended before.
-    pub fn end_attempt(&mut self, id: AttemptId) -> Option<EndedAttempt> {
+    pub(super) fn end_attempt(&mut self, id: AttemptId) -> Option<EndedAttempt> {
         let request = self.requests.get_mut(&id.request)?;
         let ended = request.end_attempt(id.number)?;
         self.remove_if_finished(id.request);
@@ -110,7 +110,7 @@
     }
 
     /// Returns the requests that await their final response.
-    pub fn awaiting_response(&self) -> Vec<RequestId> {
+    pub(super) fn awaiting_response(&self) -> Vec<RequestId> {
         self.requests
             .iter()
             .filter(|(_, request)| !request.has_response())
@@ -133,7 +133,7 @@
 
     /// Sets a timer that fires at `due`, a time of the node's clock. A timer that belongs to a
     /// request in flight is removed with it.
-    pub fn set_timer(&mut self, due: Duration, timer: DriverTimer) {
+    pub(super) fn set_timer(&mut self, due: Duration, timer: DriverTimer) {
         let key = self.timers.set(due, timer);
         if let Some(request) = self.request_of(timer) {
             request.add_timer(key);
@@ -141,12 +141,12 @@
     }
 
     /// Returns when the next timer is due; `None` if no timer is pending.
-    pub fn next_due(&self) -> Option<Duration> {
+    pub(super) fn next_due(&self) -> Option<Duration> {
         self.timers.next_due()
     }
 
     /// Removes and returns the next timer that is due by `now`.
-    pub fn pop_due(&mut self, now: Duration) -> Option<DriverTimer> {
+    pub(super) fn pop_due(&mut self, now: Duration) -> Option<DriverTimer> {
         let (key, timer) = self.timers.pop_due(now)?;
         if let Some(request) = self.request_of(timer) {
             request.remove_timer(key);
@@ -160,7 +160,7 @@
 
     /// Returns the number of entries.
     #[cfg(test)]
-    pub fn usage(&self) -> RequestTableUsage {
+    pub(super) fn usage(&self) -> RequestTableUsage {
         RequestTableUsage {
             requests: self.requests.len(),
             timers: self.timers.len(),
--- a/crates/node/src/driver/request_table/attempt.rs
+++ b/crates/node/src/driver/request_table/attempt.rs
@@ -6,7 +6,7 @@
 use tokio::sync::oneshot;
 
 /// An attempt of a request in flight.
-pub struct TrackedAttempt {
+pub(super) struct TrackedAttempt {
     endpoint: EndpointId,
     started_at: Duration,
     state: AttemptState,
@@ -23,7 +23,7 @@
 }
 
 /// An attempt that has just ended.
-pub struct EndedAttempt {
+pub(crate) struct EndedAttempt {
     /// The endpoint to which it was sent.
     pub endpoint: EndpointId,
     /// When it started, as the node's clock shows it.
@@ -34,7 +34,7 @@
 
 impl TrackedAttempt {
     /// Creates an attempt in flight. The receiver is notified when the attempt is to stop.
-    pub fn running(
+    pub(super) fn running(
         endpoint: EndpointId,
         started_at: Duration,
     ) -> (Self, oneshot::Receiver<StopReason>) {
@@ -48,7 +48,7 @@
     }
 
     /// Creates an attempt that is never started, and so has ended already.
-    pub fn not_started(endpoint: EndpointId, now: Duration) -> Self {
+    pub(super) fn not_started(endpoint: EndpointId, now: Duration) -> Self {
         TrackedAttempt {
             endpoint,
             started_at: now,
@@ -57,12 +57,12 @@
     }
 
     /// Returns whether the attempt has ended.
-    pub fn has_ended(&self) -> bool {
+    pub(super) fn has_ended(&self) -> bool {
         matches!(self.state, AttemptState::Ended)
     }
 
     /// Tells an attempt in flight to stop. Does nothing if it is stopping or has ended.
-    pub fn stop(&mut self, reason: StopReason) {
+    pub(super) fn stop(&mut self, reason: StopReason) {
         match std::mem::replace(&mut self.state, AttemptState::Stopping) {
             AttemptState::Running(stop_sender) => {
                 // An error means that the attempt has just ended, and its outcome is on its way.
@@ -74,7 +74,7 @@
 
     /// Ends the attempt; `None` if it had ended before. `has_response` says whether its request has
     /// the final response.
-    pub fn end(&mut self, has_response: bool) -> Option<EndedAttempt> {
+    pub(super) fn end(&mut self, has_response: bool) -> Option<EndedAttempt> {
         if self.has_ended() {
             return None;
         }
--- a/crates/node/src/driver/request_table/in_flight_request.rs
+++ b/crates/node/src/driver/request_table/in_flight_request.rs
@@ -9,7 +9,7 @@
 use tokio::sync::oneshot;
 
 /// A request in flight.
-pub struct InFlightRequest {
+pub(super) struct InFlightRequest {
     upstream_request: Rc<UpstreamRequest>,
     /// Takes the final response; `None` once it has been sent or the client has disconnected.
     response_sender: Option<oneshot::Sender<FinalResponse>>,
@@ -21,7 +21,7 @@
 }
 
 /// A further attempt of a request, which is started if it is permitted.
-pub enum NewAttempt {
+pub(crate) enum NewAttempt {
     /// The attempt is to be made.
     Started {
         /// The number of the attempt.
@@ -42,7 +42,7 @@
 
 impl InFlightRequest {
     /// Creates a request without attempts that awaits its final response.
-    pub fn new(
+    pub(super) fn new(
         upstream_request: UpstreamRequest,
         response_sender: oneshot::Sender<FinalResponse>,
     ) -> Self {
@@ -56,18 +56,18 @@
 
     /// Returns whether the request has its final response, or needs none as its client has
     /// disconnected.
-    pub fn has_response(&self) -> bool {
+    pub(super) fn has_response(&self) -> bool {
         self.response_sender.is_none()
     }
 
     /// Returns whether the request has its final response and all its attempts have ended.
-    pub fn is_finished(&self) -> bool {
+    pub(super) fn is_finished(&self) -> bool {
         self.has_response() && self.attempts.iter().all(TrackedAttempt::has_ended)
     }
 
     /// Takes the sender of the final response, after which no attempt sends the request any more;
     /// `None` if it was taken before.
-    pub fn take_response_sender(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
+    pub(super) fn take_response_sender(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
         let response_sender = self.response_sender.take()?;
         self.upstream_request.discard_body();
         Some(response_sender)
@@ -75,7 +75,7 @@
 
     /// Starts a further attempt, unless the request has its final response, its deadline has passed
     /// or it has had `max_attempts`.
-    pub fn start_attempt(
+    pub(super) fn start_attempt(
         &mut self,
         endpoint: EndpointId,
         now: Duration,
@@ -102,31 +102,31 @@
     }
 
     /// Tells the attempt of this number to stop, if it is in flight.
-    pub fn stop_attempt(&mut self, number: u32, reason: StopReason) {
+    pub(super) fn stop_attempt(&mut self, number: u32, reason: StopReason) {
         if let Some(attempt) = self.attempts.get_mut(number as usize) {
             attempt.stop(reason);
         }
     }
 
     /// Ends the attempt of this number; `None` if there is none or it had ended before.
-    pub fn end_attempt(&mut self, number: u32) -> Option<EndedAttempt> {
+    pub(super) fn end_attempt(&mut self, number: u32) -> Option<EndedAttempt> {
         let has_response = self.has_response();
         let attempt = self.attempts.get_mut(number as usize)?;
         attempt.end(has_response)
     }
 
     /// Adds a pending timer.
-    pub fn add_timer(&mut self, key: TimerKey) {
+    pub(super) fn add_timer(&mut self, key: TimerKey) {
         self.timers.push(key);
     }
 
     /// Removes a timer that has fired.
-    pub fn remove_timer(&mut self, fired: TimerKey) {
+    pub(super) fn remove_timer(&mut self, fired: TimerKey) {
         self.timers.retain(|key| *key != fired);
     }
 
     /// Consumes the request, and returns its pending timers.
-    pub fn into_timers(self) -> Vec<TimerKey> {
+    pub(super) fn into_timers(self) -> Vec<TimerKey> {
         self.timers
     }
 }
--- a/crates/node/src/driver/tasks.rs
+++ b/crates/node/src/driver/tasks.rs
@@ -11,19 +11,23 @@
 use tokio::task::spawn_local;
 
 /// Spawns the driver's tasks.
-pub struct TaskSpawner {
+pub(super) struct TaskSpawner {
     upstream: Rc<Upstream>,
     messages: mpsc::Sender<Message>,
 }
 
 impl TaskSpawner {
     /// Creates a spawner whose tasks report to `messages`, the driver's inbox.
-    pub fn new(upstream: Rc<Upstream>, messages: mpsc::Sender<Message>) -> Self {
+    pub(super) fn new(upstream: Rc<Upstream>, messages: mpsc::Sender<Message>) -> Self {
         TaskSpawner { upstream, messages }
     }
 
     /// Makes an attempt in a task of its own.
-    pub fn spawn_attempt(&self, attempt: Attempt, stop_signal: oneshot::Receiver<StopReason>) {
+    pub(super) fn spawn_attempt(
+        &self,
+        attempt: Attempt,
+        stop_signal: oneshot::Receiver<StopReason>,
+    ) {
         let upstream = self.upstream.clone();
         let messages = self.messages.clone();
         spawn_local(async move {
@@ -34,7 +38,7 @@
 
     /// Checks an endpoint's health in a task of its own. `started_at` is when the check was decided
     /// on.
-    pub fn spawn_health_check(&self, endpoint: EndpointId, started_at: Duration) {
+    pub(super) fn spawn_health_check(&self, endpoint: EndpointId, started_at: Duration) {
         let upstream = self.upstream.clone();
         let messages = self.messages.clone();
         spawn_local(async move {
--- a/crates/node/src/driver/tests/host.rs
+++ b/crates/node/src/driver/tests/host.rs
@@ -24,24 +24,24 @@
 /// The memory budget, in bytes.
 const BUDGET: usize = 4 << 20;
 /// The size of a request's body, in bytes.
-pub const BODY: usize = 512;
+pub(super) const BODY: usize = 512;
 /// The latency objective of all classes.
-pub const TARGET: Duration = Duration::from_millis(200);
+pub(super) const TARGET: Duration = Duration::from_millis(200);
 /// The deadline of all classes.
-pub const DEADLINE: Duration = Duration::from_millis(400);
+pub(super) const DEADLINE: Duration = Duration::from_millis(400);
 /// Longer than any deadline, timeout and cooldown of a connection.
-pub const SETTLED: Duration = Duration::from_secs(5);
+pub(super) const SETTLED: Duration = Duration::from_secs(5);
 
 /// The class of idempotent requests.
-pub const READ: usize = 0;
+pub(super) const READ: usize = 0;
 /// The class of keyed requests.
-pub const SUBMIT: usize = 1;
+pub(super) const SUBMIT: usize = 1;
 /// The class of requests that are not idempotent.
-pub const CORRECT: usize = 2;
+pub(super) const CORRECT: usize = 2;
 
 /// Returns a configuration whose endpoints report their load as `reports` says, in the words of the
 /// settings file.
-pub fn config(reports: &str, late_weight: f64) -> Config {
+pub(super) fn config(reports: &str, late_weight: f64) -> Config {
     let class = |name: &str, idempotency: &str| {
         format!(
             r#"{{"Name":"{name}","Target":200,"GiveUp":400,"Idempotency":"{idempotency}","Group":"cell",
@@ -65,14 +65,14 @@
 }
 
 /// A driver under test, and the parts around it.
-pub struct Host {
+pub(super) struct Host {
     pub driver: Driver,
     inbox: mpsc::Receiver<Message>,
     peers: Peers,
 }
 
 /// Sends what the downstream side and discovery would send.
-pub struct Peers {
+pub(super) struct Peers {
     clock: Clock,
     pub messages: mpsc::Sender<Message>,
     budget: Budget,
@@ -81,7 +81,7 @@
 
 /// The number of entries and bytes in use on behalf of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Usage {
+pub(super) struct Usage {
     /// Requests in flight.
     pub requests: usize,
     /// Pending timers.
@@ -92,7 +92,7 @@
 
 impl Host {
     /// Creates a driver, which runs only during [`Host::run`].
-    pub fn start(config: &Config) -> Self {
+    pub(super) fn start(config: &Config) -> Self {
         let clock = Clock::start();
         let (messages, inbox) = mpsc::channel(4096);
         let (discovery, _) = mpsc::channel(16);
@@ -116,7 +116,7 @@
     }
 
     /// Runs the driver until `scenario` has ended.
-    pub async fn run<T>(&mut self, scenario: impl AsyncFnOnce(&Peers) -> T) -> T {
+    pub(super) async fn run<T>(&mut self, scenario: impl AsyncFnOnce(&Peers) -> T) -> T {
         tokio::select! {
             () = self.driver.run(&mut self.inbox) => panic!("the node ended"),
             result = scenario(&self.peers) => result,
@@ -124,7 +124,7 @@
     }
 
     /// Sends a request, and lets `time` pass.
-    pub async fn request_and_advance(
+    pub(super) async fn request_and_advance(
         &mut self,
         class: usize,
         script: &str,
@@ -139,13 +139,13 @@
     }
 
     /// Returns the usage of all tables of the node: the driver's, the balancer's and the pool's.
-    pub fn all_usage(&self) -> (Usage, TableSizes, pool::PoolUsage) {
+    pub(super) fn all_usage(&self) -> (Usage, TableSizes, pool::PoolUsage) {
         let balancer = self.driver.balancer.table_sizes();
         (self.usage(), balancer, self.driver.upstream.pool_usage())
     }
 
     /// Returns the usage of the driver's table and of the memory budget.
-    pub fn usage(&self) -> Usage {
+    pub(super) fn usage(&self) -> Usage {
         let RequestTableUsage { requests, timers } = self.driver.requests.usage();
         Usage {
             requests,
@@ -157,7 +157,7 @@
 
 impl Peers {
     /// Sends an update of the endpoint list, and waits until it has been handled.
-    pub async fn list(&self, kind: ListKind, endpoints: Vec<ListedEndpoint>) {
+    pub(super) async fn list(&self, kind: ListKind, endpoints: Vec<ListedEndpoint>) {
         let sent = self
             .messages
             .send(Message::EndpointList(EndpointListUpdate {
@@ -170,7 +170,7 @@
     }
 
     /// Sends a client's request; `script` is what the endpoint does with it.
-    pub async fn request(
+    pub(super) async fn request(
         &self,
         class: usize,
         script: &str,
@@ -236,7 +236,7 @@
     }
 
     /// Disconnects the client of a request.
-    pub async fn disconnect(&self, id: RequestId) {
+    pub(super) async fn disconnect(&self, id: RequestId) {
         self.messages
             .send(Message::ClientDisconnected(id))
             .await
@@ -245,7 +245,7 @@
 }
 
 /// Runs a test on a runtime whose time is virtual.
-pub fn in_virtual_time(test: impl Future<Output = ()>) {
+pub(super) fn in_virtual_time(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
--- a/crates/node/src/driver/tests/scripted_endpoint.rs
+++ b/crates/node/src/driver/tests/scripted_endpoint.rs
@@ -14,7 +14,7 @@
 const SLOW: Duration = Duration::from_millis(30);
 
 /// Starts an endpoint whose health checks report `load`.
-pub async fn start(id: u64, load: &'static str) -> ListedEndpoint {
+pub(super) async fn start(id: u64, load: &'static str) -> ListedEndpoint {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("the listener's address");
     spawn_local(async move {
@@ -26,7 +26,7 @@
 }
 
 /// Returns the list's entry for an endpoint that is ready.
-pub fn listed(id: u64, address: SocketAddr) -> ListedEndpoint {
+pub(super) fn listed(id: u64, address: SocketAddr) -> ListedEndpoint {
     let entry = EndpointEntry {
         id: EndpointId(id),
         state: EndpointState::Ready,
--- a/crates/node/src/driver/timer_queue.rs
+++ b/crates/node/src/driver/timer_queue.rs
@@ -7,7 +7,7 @@
 
 /// What a timer of the driver is for.
 #[derive(Clone, Copy)]
-pub enum DriverTimer {
+pub(super) enum DriverTimer {
     /// A timer that the balancer has set.
     Balancer(Timer),
     /// The timeout of an attempt.
@@ -19,7 +19,7 @@
 impl DriverTimer {
     /// Returns the request to which the timer belongs, and with which it is removed; `None` for a
     /// timer that stays until it fires.
-    pub fn request(self) -> Option<RequestId> {
+    pub(super) fn request(self) -> Option<RequestId> {
         match self {
             DriverTimer::Balancer(Timer::EndpointPolling) => None,
             DriverTimer::Balancer(Timer::Request(id)) | DriverTimer::Deadline(id) => Some(id),
@@ -31,21 +31,21 @@
 /// Identifies a pending timer. The order is that of firing: timers that are due together fire in
 /// the order in which they were set.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct TimerKey {
+pub(super) struct TimerKey {
     due: Duration,
     sequence: u64,
 }
 
 /// All pending timers.
 #[derive(Default)]
-pub struct TimerQueue {
+pub(super) struct TimerQueue {
     timers: BTreeMap<TimerKey, DriverTimer>,
     last_sequence: u64,
 }
 
 impl TimerQueue {
     /// Sets a timer that fires at `due`, a time of the node's clock.
-    pub fn set(&mut self, due: Duration, timer: DriverTimer) -> TimerKey {
+    pub(super) fn set(&mut self, due: Duration, timer: DriverTimer) -> TimerKey {
         self.last_sequence += 1;
         let key = TimerKey {
             due,
@@ -56,18 +56,18 @@
     }
 
     /// Removes a timer before it fires. Does nothing if it has fired.
-    pub fn remove(&mut self, key: TimerKey) {
+    pub(super) fn remove(&mut self, key: TimerKey) {
         self.timers.remove(&key);
     }
 
     /// Returns when the next timer is due; `None` if no timer is pending.
-    pub fn next_due(&self) -> Option<Duration> {
+    pub(super) fn next_due(&self) -> Option<Duration> {
         let (key, _) = self.timers.first_key_value()?;
         Some(key.due)
     }
 
     /// Removes and returns the next timer that is due by `now`.
-    pub fn pop_due(&mut self, now: Duration) -> Option<(TimerKey, DriverTimer)> {
+    pub(super) fn pop_due(&mut self, now: Duration) -> Option<(TimerKey, DriverTimer)> {
         let first = self.timers.first_entry()?;
         if first.key().due > now {
             return None;
@@ -77,7 +77,7 @@
 
     /// Returns the number of pending timers.
     #[cfg(test)]
-    pub fn len(&self) -> usize {
+    pub(super) fn len(&self) -> usize {
         self.timers.len()
     }
 }
--- a/crates/node/src/logging.rs
+++ b/crates/node/src/logging.rs
@@ -7,8 +7,8 @@
 mod rate_limit;
 mod writer;
 
-pub use error_chain::ErrorChain;
-pub use writer::flush;
+pub(crate) use error_chain::ErrorChain;
+pub(crate) use writer::flush;
 
 use rate_limit::PeerLineLimit;
 use std::cell::Cell;
@@ -16,13 +16,13 @@
 use std::time::Instant;
 
 /// Logs a line about this node.
-pub fn log(text: impl Display) {
+pub(crate) fn log(text: impl Display) {
     writer::write(text);
 }
 
 /// Logs a line about something that peers can cause as often as they like. Their number is limited;
 /// a line says how many were suppressed before it.
-pub fn log_peer(text: impl Display) {
+pub(crate) fn log_peer(text: impl Display) {
     match admit_peer_line() {
         Some(0) => log(text),
         Some(suppressed) => log(format_args!(
--- a/crates/node/src/logging/error_chain.rs
+++ b/crates/node/src/logging/error_chain.rs
@@ -7,7 +7,7 @@
 use std::fmt;
 
 /// Displays an error and its causes in one line, the outermost first, separated by colons.
-pub struct ErrorChain<'a>(pub &'a dyn Error);
+pub(crate) struct ErrorChain<'a>(pub &'a dyn Error);
 
 impl fmt::Display for ErrorChain<'_> {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/node/src/logging/rate_limit.rs
+++ b/crates/node/src/logging/rate_limit.rs
@@ -10,7 +10,7 @@
 /// Limits the number of lines in each interval. An interval starts with the first line after the
 /// last one's end.
 #[derive(Clone, Copy)]
-pub struct PeerLineLimit {
+pub(super) struct PeerLineLimit {
     interval_start: Option<Instant>,
     lines_in_interval: u32,
     suppressed: u64,
@@ -18,7 +18,7 @@
 
 impl PeerLineLimit {
     /// Returns a limit that has admitted no line yet.
-    pub const fn new() -> Self {
+    pub(super) const fn new() -> Self {
         PeerLineLimit {
             interval_start: None,
             lines_in_interval: 0,
@@ -28,7 +28,7 @@
 
     /// Admits a line, with the number of those suppressed since the last; `None` if this one is
     /// suppressed.
-    pub fn admit(&mut self, now: Instant) -> Option<u64> {
+    pub(super) fn admit(&mut self, now: Instant) -> Option<u64> {
         let is_over = self
             .interval_start
             .is_none_or(|start| now - start >= PEER_LINES_INTERVAL);
--- a/crates/node/src/logging/writer.rs
+++ b/crates/node/src/logging/writer.rs
@@ -27,14 +27,14 @@
 static QUEUE: OnceLock<Option<SyncSender<Entry>>> = OnceLock::new();
 
 /// Queues a line, unless the queue is full.
-pub fn write(text: impl Display) {
+pub(super) fn write(text: impl Display) {
     if let Some(queue) = queue() {
         let _ = queue.try_send(Entry::Line(text.to_string())); // fails only if the queue is full
     }
 }
 
 /// Waits until all lines so far have been written, but not for a reader that has stopped.
-pub fn flush() {
+pub(crate) fn flush() {
     let Some(queue) = queue() else { return };
     let (written, is_written) = sync_channel(1);
     if queue.try_send(Entry::Flush(written)).is_ok() {
--- a/crates/node/src/memory_budget.rs
+++ b/crates/node/src/memory_budget.rs
@@ -7,28 +7,28 @@
 
 /// The budget of bytes for bodies. Clones share it.
 #[derive(Clone)]
-pub struct Budget {
+pub(crate) struct Budget {
     /// The bytes that are not leased. [`Bytes`] may be dropped on any thread, so its owner, a
     /// [`Lease`], needs an atomic.
     available: Arc<AtomicUsize>,
 }
 
 /// A part of the budget. Its bytes are returned when it is dropped.
-pub struct Lease {
+pub(crate) struct Lease {
     budget: Budget,
     bytes: usize,
 }
 
 impl Budget {
     /// Creates a budget of `bytes`.
-    pub fn new(bytes: usize) -> Self {
+    pub(crate) fn new(bytes: usize) -> Self {
         Budget {
             available: Arc::new(AtomicUsize::new(bytes)),
         }
     }
 
     /// Leases `bytes`; `None` if fewer are available.
-    pub fn lease(&self, bytes: usize) -> Option<Lease> {
+    pub(crate) fn lease(&self, bytes: usize) -> Option<Lease> {
         let subtract = |available: usize| available.checked_sub(bytes);
         self.available
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, subtract)
@@ -41,14 +41,14 @@
 
     /// Returns how many bytes may still be leased.
     #[cfg(test)]
-    pub fn available(&self) -> usize {
+    pub(crate) fn available(&self) -> usize {
         self.available.load(Ordering::Relaxed)
     }
 }
 
 impl Lease {
     /// Ties the lease to the bytes it is for. It ends when their last copy is dropped.
-    pub fn keep(self, bytes: Bytes) -> Bytes {
+    pub(crate) fn keep(self, bytes: Bytes) -> Bytes {
         Bytes::from_owner(LeasedBytes {
             bytes,
             _lease: self,
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -13,7 +13,7 @@
 use tokio::sync::oneshot;
 
 /// A message to the driver.
-pub enum Message {
+pub(crate) enum Message {
     /// A client's request has been read and admitted.
     Request(Box<IncomingRequest>),
     /// The client of a request has disconnected.
@@ -29,7 +29,7 @@
 }
 
 /// A request that the downstream side has admitted.
-pub struct IncomingRequest {
+pub(crate) struct IncomingRequest {
     /// The request as the balancer sees it.
     pub request: NewRequest,
     /// When its last byte was read, as the node's clock shows it.
@@ -42,7 +42,7 @@
 
 /// The one final response to a request.
 #[derive(Debug)]
-pub enum FinalResponse {
+pub(crate) enum FinalResponse {
     /// Served by an endpoint, with this response body.
     Served(Bytes),
     /// Rejected; the client may safely retry, after this delay if it is given one.
@@ -55,7 +55,7 @@
 
 /// A request as its attempts send it to endpoints: the parts that are forwarded unchanged, and the
 /// limits on sending them. All attempts share one.
-pub struct UpstreamRequest {
+pub(crate) struct UpstreamRequest {
     /// The HTTP method.
     pub method: Method,
     /// The path and query.
@@ -77,19 +77,19 @@
 impl UpstreamRequest {
     /// Returns the body to send; `None` once the request has its final response or its client has
     /// disconnected, after which nothing more is sent for it.
-    pub fn body(&self) -> Option<Bytes> {
+    pub(crate) fn body(&self) -> Option<Bytes> {
         self.body.borrow().clone()
     }
 
     /// Discards the body, so that no further attempt sends the request. The body's lease of the
     /// memory budget ends once the copies that are being written have been written or dropped.
-    pub fn discard_body(&self) {
+    pub(crate) fn discard_body(&self) {
         self.body.replace(None);
     }
 }
 
 /// The reason for which an attempt is stopped.
-pub enum StopReason {
+pub(crate) enum StopReason {
     /// Its timeout has passed.
     TimedOut,
     /// The balancer has cancelled it.
@@ -98,7 +98,7 @@
 
 /// Identifies an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AttemptId {
+pub(crate) struct AttemptId {
     /// The request that is attempted.
     pub request: RequestId,
     /// The position of the attempt among those of the request, from 0.
@@ -106,7 +106,7 @@
 }
 
 /// An attempt that has ended.
-pub struct CompletedAttempt {
+pub(crate) struct CompletedAttempt {
     /// Identifies the attempt.
     pub id: AttemptId,
     /// How it ended.
@@ -118,7 +118,7 @@
 }
 
 /// A health check that has ended.
-pub struct CompletedHealthCheck {
+pub(crate) struct CompletedHealthCheck {
     /// The endpoint that was checked.
     pub endpoint: EndpointId,
     /// How it ended.
@@ -131,7 +131,7 @@
 
 /// An entry of the endpoint list, with the endpoint's address.
 #[derive(Clone, Debug)]
-pub struct ListedEndpoint {
+pub(crate) struct ListedEndpoint {
     /// The entry as the balancer sees it.
     pub entry: EndpointEntry,
     /// The address on which the endpoint listens.
@@ -139,7 +139,7 @@
 }
 
 /// An update of the endpoint list.
-pub struct EndpointListUpdate {
+pub(crate) struct EndpointListUpdate {
     /// Says whether the endpoints are the whole list or changes to it, or that the list could not
     /// be fetched.
     pub kind: ListKind,
@@ -148,7 +148,7 @@
 }
 
 /// A command from the balancer to discovery.
-pub enum DiscoveryCommand {
+pub(crate) enum DiscoveryCommand {
     /// Watch the endpoint list for changes.
     Subscribe,
     /// Stop watching the endpoint list.
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -9,7 +9,7 @@
 
 /// Reloads the configuration on each signal, and publishes the address of discovery if it has
 /// changed. A configuration that cannot be used changes nothing.
-pub async fn reload_on_signal(
+pub(crate) async fn reload_on_signal(
     mut signal: ReloadSignal,
     running_config: Rc<Config>,
     discovery_address: watch::Sender<SocketAddr>,
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -6,7 +6,7 @@
 
 /// The receivers of all signals. A signal that arrives before its handler is installed ends the
 /// process, so they are created before anything else.
-pub struct Signals {
+pub(crate) struct Signals {
     /// Requests a reload of the configuration.
     pub reload: ReloadSignal,
     /// Requests a graceful shutdown.
@@ -15,7 +15,7 @@
 
 impl Signals {
     /// Installs the handlers of all signals.
-    pub fn install() -> io::Result<Self> {
+    pub(crate) fn install() -> io::Result<Self> {
         Ok(Signals {
             reload: ReloadSignal {
                 hangup: signal(SignalKind::hangup())?,
@@ -29,26 +29,26 @@
 }
 
 /// Receives SIGHUP.
-pub struct ReloadSignal {
+pub(crate) struct ReloadSignal {
     hangup: Signal,
 }
 
 impl ReloadSignal {
     /// Waits for the next signal. Returns `None` if no further signal can arrive.
-    pub async fn recv(&mut self) -> Option<()> {
+    pub(crate) async fn recv(&mut self) -> Option<()> {
         self.hangup.recv().await
     }
 }
 
 /// Receives SIGTERM and SIGINT.
-pub struct ShutdownSignal {
+pub(crate) struct ShutdownSignal {
     terminate: Signal,
     interrupt: Signal,
 }
 
 impl ShutdownSignal {
     /// Waits for the first signal.
-    pub async fn recv(mut self) {
+    pub(crate) async fn recv(mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
             _ = self.interrupt.recv() => {}
--- a/crates/node/src/socket/fault_injection.rs
+++ b/crates/node/src/socket/fault_injection.rs
@@ -29,16 +29,16 @@
 }
 
 /// Injects faults until it is dropped.
-pub struct InjectedFaults(());
+pub(crate) struct InjectedFaults(());
 
 impl InjectedFaults {
     /// Makes one call in `fail_every` fail with `errno`.
-    pub fn errors(errno: Errno, fail_every: u32) -> Self {
+    pub(crate) fn errors(errno: Errno, fail_every: u32) -> Self {
         Self::start(Fault::Error { errno, fail_every })
     }
 
     /// Makes reads short. None of them fails.
-    pub fn short_reads() -> Self {
+    pub(crate) fn short_reads() -> Self {
         Self::start(Fault::ShortReads)
     }
 
@@ -52,7 +52,7 @@
     }
 
     /// Returns how many faults were injected.
-    pub fn count(&self) -> usize {
+    pub(crate) fn count(&self) -> usize {
         FAULTS.with_borrow(|plan| plan.map_or(0, |plan| plan.injected))
     }
 }
@@ -64,12 +64,12 @@
 }
 
 /// Returns the error of the call that is to be made now, if it is to fail.
-pub fn inject() -> Option<io::Error> {
+pub(crate) fn inject() -> Option<io::Error> {
     FAULTS.with_borrow_mut(|plan| plan.as_mut()?.next_error())
 }
 
 /// Returns the part of a buffer that a read may fill.
-pub fn shorten(buffer: &mut [u8]) -> &mut [u8] {
+pub(crate) fn shorten(buffer: &mut [u8]) -> &mut [u8] {
     let is_short = FAULTS.with_borrow_mut(|plan| {
         plan.as_mut()
             .is_some_and(|plan| plan.shortens(buffer.len()))
--- a/crates/node/src/socket/handle.rs
+++ b/crates/node/src/socket/handle.rs
@@ -17,7 +17,7 @@
 
 /// Inspects a stream, but does not keep it open.
 #[derive(Clone)]
-pub struct Handle(Weak<Shared>);
+pub(crate) struct Handle(Weak<Shared>);
 
 /// Why reading ahead has ended.
 #[derive(PartialEq, Eq)]
@@ -36,12 +36,12 @@
 
     /// Returns when the first bytes arrived since the stream was opened or
     /// [`Handle::reset_first_byte`] was called.
-    pub fn first_byte_at(&self) -> Option<Instant> {
+    pub(crate) fn first_byte_at(&self) -> Option<Instant> {
         self.0.upgrade()?.first_byte_at.get()
     }
 
     /// Forgets when the first bytes arrived: the next ones are the first.
-    pub fn reset_first_byte(&self) {
+    pub(crate) fn reset_first_byte(&self) {
         if let Some(shared) = self.0.upgrade() {
             shared.first_byte_at.set(None);
         }
@@ -49,7 +49,7 @@
 
     /// Returns whether the stream is open and has nothing to read. Asks the kernel: what the
     /// runtime knows may be one turn of the loop old.
-    pub fn has_nothing_to_read(&self) -> bool {
+    pub(crate) fn has_nothing_to_read(&self) -> bool {
         let Some(shared) = self.0.upgrade() else {
             return false;
         };
@@ -65,7 +65,7 @@
     /// Hyper does not check for that while bytes wait behind the request it serves, so these are
     /// read ahead, as far as there is room for them. To be polled after hyper, which has to get
     /// first what it wants.
-    pub async fn peer_closed(&self) {
+    pub(crate) async fn peer_closed(&self) {
         let Some(shared) = self.0.upgrade() else {
             return;
         };
@@ -80,7 +80,7 @@
 
     /// Returns whether the peer is known to have closed its side, whatever waits to be read before
     /// that.
-    pub fn is_peer_closed(&self) -> bool {
+    pub(crate) fn is_peer_closed(&self) -> bool {
         let Some(shared) = self.0.upgrade() else {
             return true;
         };
--- a/crates/node/src/socket/stream.rs
+++ b/crates/node/src/socket/stream.rs
@@ -13,11 +13,11 @@
 use tokio::net::TcpStream;
 
 /// A TCP stream for hyper. It closes when it is dropped.
-pub struct Socket(Rc<Shared>);
+pub(crate) struct Socket(Rc<Shared>);
 
 impl Socket {
     /// Returns the stream and its handle.
-    pub fn new(stream: TcpStream) -> (Self, Handle) {
+    pub(crate) fn new(stream: TcpStream) -> (Self, Handle) {
         let _ = stream.set_nodelay(true); // without it the stream is only slower
         let shared = Rc::new(Shared::new(stream));
         let handle = Handle::new(&shared);
--- a/crates/node/src/socket/system_calls.rs
+++ b/crates/node/src/socket/system_calls.rs
@@ -8,7 +8,7 @@
 use tokio::net::TcpStream;
 
 /// Connects to an address, again if the call is interrupted.
-pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
+pub(crate) async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     loop {
         match TcpStream::connect(address).await {
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -18,7 +18,7 @@
 }
 
 /// Reads what has arrived, into the buffer, and returns the number of bytes.
-pub fn read(stream: &TcpStream, buffer: &mut [u8]) -> io::Result<usize> {
+pub(super) fn read(stream: &TcpStream, buffer: &mut [u8]) -> io::Result<usize> {
     #[cfg(test)]
     let buffer = super::fault_injection::shorten(buffer);
     call(|| stream.try_read(buffer))
@@ -26,17 +26,17 @@
 
 /// Looks for a byte that can be read, and leaves it there. Fails with `WouldBlock` if there is
 /// none.
-pub fn peek(stream: &TcpStream) -> io::Result<usize> {
+pub(super) fn peek(stream: &TcpStream) -> io::Result<usize> {
     call(|| SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]))
 }
 
 /// Writes as much as there is room for, and returns the number of bytes.
-pub fn write(stream: &TcpStream, bytes: &[u8]) -> io::Result<usize> {
+pub(super) fn write(stream: &TcpStream, bytes: &[u8]) -> io::Result<usize> {
     call(|| stream.try_write(bytes))
 }
 
 /// Writes as much of several slices as there is room for, and returns the number of bytes.
-pub fn write_vectored(stream: &TcpStream, slices: &[IoSlice<'_>]) -> io::Result<usize> {
+pub(super) fn write_vectored(stream: &TcpStream, slices: &[IoSlice<'_>]) -> io::Result<usize> {
     call(|| stream.try_write_vectored(slices))
 }
 
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -4,8 +4,8 @@
 mod error;
 mod options;
 
-pub use error::NodeError;
-pub use options::{discovery_options, driver_options, upstream_options};
+pub(crate) use error::NodeError;
+pub(crate) use options::{discovery_options, driver_options, upstream_options};
 
 use crate::clock::Clock;
 use crate::config::Config;
@@ -41,7 +41,7 @@
 }
 
 /// Reads the configuration, and runs the node until its graceful shutdown is complete.
-pub async fn run() -> Result<(), NodeError> {
+pub(crate) async fn run() -> Result<(), NodeError> {
     let signals = Signals::install().map_err(NodeError::Signals)?;
     let config = Rc::new(Config::from_env()?);
     let listener = bind(config.listen_address).await?;
--- a/crates/node/src/startup/error.rs
+++ b/crates/node/src/startup/error.rs
@@ -8,7 +8,7 @@
 
 /// The reason for which the node could not start, or stopped without being asked to.
 #[derive(Debug, Error)]
-pub enum NodeError {
+pub(crate) enum NodeError {
     /// The async runtime could not be built.
     #[error("cannot start")]
     Runtime(#[source] io::Error),
--- a/crates/node/src/startup/options.rs
+++ b/crates/node/src/startup/options.rs
@@ -9,7 +9,7 @@
 use ottertiller_balancer::settings::SettingsFile;
 
 /// Returns the options of the driver.
-pub fn driver_options(config: &Config) -> DriverOptions {
+pub(crate) fn driver_options(config: &Config) -> DriverOptions {
     DriverOptions {
         settings: config.settings_file.settings.clone(),
         seed: config.seed,
@@ -17,7 +17,7 @@
 }
 
 /// Returns the options of the downstream side.
-pub fn downstream_options(config: &Config) -> DownstreamOptions {
+pub(super) fn downstream_options(config: &Config) -> DownstreamOptions {
     let file = &config.settings_file;
     DownstreamOptions {
         max_connections: config.capacity.client_connections,
@@ -40,7 +40,7 @@
 }
 
 /// Returns the options of the upstream side.
-pub fn upstream_options(config: &Config) -> UpstreamOptions {
+pub(crate) fn upstream_options(config: &Config) -> UpstreamOptions {
     let file = &config.settings_file;
     UpstreamOptions {
         pool: pool_options(config),
@@ -60,7 +60,7 @@
 }
 
 /// Returns the options of discovery.
-pub fn discovery_options(config: &Config) -> DiscoveryOptions {
+pub(crate) fn discovery_options(config: &Config) -> DiscoveryOptions {
     let file = &config.settings_file;
     DiscoveryOptions {
         address: config.discovery_address,
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -25,7 +25,7 @@
 struct BrokenBeforeWrite;
 
 /// An attempt to be made.
-pub struct Attempt {
+pub(crate) struct Attempt {
     /// The attempt.
     pub id: AttemptId,
     /// Where it goes.
@@ -38,7 +38,7 @@
 
 impl Upstream {
     /// Makes an attempt until it ends or is stopped, and returns how it ended.
-    pub async fn run_attempt(
+    pub(crate) async fn run_attempt(
         self: Rc<Self>,
         attempt: Attempt,
         stopped: oneshot::Receiver<StopReason>,
--- a/crates/node/src/upstream/attempt/tests.rs
+++ b/crates/node/src/upstream/attempt/tests.rs
@@ -93,7 +93,7 @@
         attempt
             .upstream_request
             .first_sent_at
-            .set(Some(now - 2 * MINUTE))
+            .set(Some(now - 2 * MINUTE));
     });
     assert_eq!(
         forgotten,
--- a/crates/node/src/upstream/health_check.rs
+++ b/crates/node/src/upstream/health_check.rs
@@ -19,7 +19,7 @@
 impl Upstream {
     /// Checks an endpoint's health. `started` is when the check was decided on, on the node's
     /// clock.
-    pub async fn check_health(
+    pub(crate) async fn check_health(
         self: Rc<Self>,
         endpoint: EndpointId,
         started: Duration,
--- a/crates/node/src/upstream/load_report.rs
+++ b/crates/node/src/upstream/load_report.rs
@@ -10,24 +10,24 @@
 const LOAD_REPORT: HeaderName = HeaderName::from_static("x-load-report");
 
 /// Parses load reports as the settings describe them.
-pub struct LoadReportParser {
+pub(super) struct LoadReportParser {
     source: LoadReportSource,
     columns: Vec<Column>,
 }
 
 impl LoadReportParser {
     /// Returns a parser that takes in these columns and leaves out all others.
-    pub fn new(source: LoadReportSource, columns: Vec<Column>) -> Self {
+    pub(super) fn new(source: LoadReportSource, columns: Vec<Column>) -> Self {
         LoadReportParser { source, columns }
     }
 
     /// Returns whether endpoints report their load at all.
-    pub fn is_enabled(&self) -> bool {
+    pub(super) fn is_enabled(&self) -> bool {
         self.source != LoadReportSource::None
     }
 
     /// Returns the report in a response's headers. A malformed one is logged and dropped.
-    pub fn parse_headers(&self, headers: &HeaderMap) -> Option<LoadReport> {
+    pub(super) fn parse_headers(&self, headers: &HeaderMap) -> Option<LoadReport> {
         let value = headers.get(LOAD_REPORT).filter(|_| self.is_enabled())?;
         let report = value.to_str().ok().and_then(|text| self.parse(text));
         if report.is_none() {
@@ -37,7 +37,7 @@
     }
 
     /// Returns the report that is the body of a health check's response.
-    pub fn parse_body(&self, body: &[u8]) -> Option<LoadReport> {
+    pub(super) fn parse_body(&self, body: &[u8]) -> Option<LoadReport> {
         if !self.is_enabled() {
             return None;
         }
--- a/crates/node/src/upstream/mod.rs
+++ b/crates/node/src/upstream/mod.rs
@@ -1,9 +1,9 @@
 //! The upstream side: connections to endpoints, attempts of requests and health checks.
 
-pub mod attempt;
+pub(crate) mod attempt;
 mod health_check;
 mod load_report;
-pub mod pool;
+pub(crate) mod pool;
 mod request;
 mod response;
 
@@ -18,7 +18,7 @@
 
 /// The options of the upstream side.
 #[derive(Clone, Debug)]
-pub struct UpstreamOptions {
+pub(crate) struct UpstreamOptions {
     /// The options of the connection pool.
     pub pool: pool::PoolOptions,
     /// How endpoints report their load.
@@ -28,7 +28,7 @@
 }
 
 /// Sends attempts and health checks to endpoints.
-pub struct Upstream {
+pub(crate) struct Upstream {
     clock: Clock,
     /// Memory for the bodies of requests and responses.
     budget: Budget,
@@ -38,7 +38,7 @@
 
 impl Upstream {
     /// Returns an upstream side that knows no endpoint yet, and starts the tasks of its pool.
-    pub fn start(clock: Clock, options: UpstreamOptions, budget: Budget) -> Rc<Self> {
+    pub(crate) fn start(clock: Clock, options: UpstreamOptions, budget: Budget) -> Rc<Self> {
         Rc::new(Upstream {
             clock,
             budget,
@@ -51,13 +51,13 @@
     }
 
     /// Applies an update of the endpoint list.
-    pub fn update_endpoints(&self, kind: ListKind, listed: &[ListedEndpoint]) {
+    pub(crate) fn update_endpoints(&self, kind: ListKind, listed: &[ListedEndpoint]) {
         self.pool.update(kind, listed);
     }
 
     /// Returns what the pool holds now.
     #[cfg(test)]
-    pub fn pool_usage(&self) -> pool::PoolUsage {
+    pub(crate) fn pool_usage(&self) -> pool::PoolUsage {
         self.pool.usage()
     }
 }
--- a/crates/node/src/upstream/pool/checkout.rs
+++ b/crates/node/src/upstream/pool/checkout.rs
@@ -41,7 +41,7 @@
 impl Pool {
     /// Takes the most recently used idle connection, or else whichever comes first of one that is
     /// released and a new one.
-    pub async fn checkout(self: &Rc<Self>, endpoint: EndpointId) -> CheckoutResult {
+    pub(crate) async fn checkout(self: &Rc<Self>, endpoint: EndpointId) -> CheckoutResult {
         if let Some(connection) = self.take_idle(endpoint)? {
             return Ok(connection);
         }
--- a/crates/node/src/upstream/pool/connection.rs
+++ b/crates/node/src/upstream/pool/connection.rs
@@ -12,10 +12,10 @@
 use tokio::task::AbortHandle;
 
 /// A connection, or why there is none.
-pub type CheckoutResult = Result<Connection, CheckoutError>;
+pub(super) type CheckoutResult = Result<Connection, CheckoutError>;
 
 /// A connection to an endpoint. When dropped it closes at once, even in the middle of an exchange.
-pub struct Connection {
+pub(crate) struct Connection {
     /// Where it leads.
     pub endpoint: EndpointId,
     /// The epoch of the endpoint that it was dialled for.
@@ -36,7 +36,7 @@
 impl Connection {
     /// Returns whether the connection may carry a request. Bytes that arrived behind a response
     /// would be read as the next one.
-    pub fn is_usable(&self) -> bool {
+    pub(crate) fn is_usable(&self) -> bool {
         !self.sender.is_closed() && self.socket.has_nothing_to_read()
     }
 }
--- a/crates/node/src/upstream/pool/dial.rs
+++ b/crates/node/src/upstream/pool/dial.rs
@@ -19,7 +19,7 @@
 use tokio::time::timeout;
 
 /// A connection to be opened.
-pub struct Dial {
+pub(super) struct Dial {
     /// The endpoint to connect to.
     pub endpoint: EndpointId,
     /// Its epoch when the dial was decided on.
--- a/crates/node/src/upstream/pool/endpoint_table.rs
+++ b/crates/node/src/upstream/pool/endpoint_table.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// What the pool holds for one endpoint.
-pub struct EndpointSlot {
+pub(super) struct EndpointSlot {
     /// Where it listens.
     pub address: SocketAddr,
     /// The epoch that it is in.
@@ -44,7 +44,7 @@
     }
 
     /// Returns whether new requests may be sent to the endpoint.
-    pub fn is_ready(&self) -> bool {
+    pub(super) fn is_ready(&self) -> bool {
         self.state == EndpointState::Ready
     }
 
@@ -76,7 +76,7 @@
 
 /// The listed endpoints by their numbers.
 #[derive(Default)]
-pub struct EndpointTable {
+pub(super) struct EndpointTable {
     slots: BTreeMap<EndpointId, EndpointSlot>,
     /// The last epoch that was given out to any endpoint.
     last_epoch: Epoch,
@@ -87,7 +87,7 @@
     ///
     /// Endpoints that are removed are forgotten: nothing more is sent to them, and over a day there
     /// are ever new ones.
-    pub fn apply(&mut self, kind: ListKind, listed: &[ListedEndpoint]) {
+    pub(super) fn apply(&mut self, kind: ListKind, listed: &[ListedEndpoint]) {
         if matches!(kind, ListKind::Snapshot | ListKind::Cached) {
             self.remove_unlisted(listed);
         }
@@ -123,27 +123,31 @@
     }
 
     /// Returns the endpoint, in whatever epoch it is.
-    pub fn get_mut(&mut self, id: EndpointId) -> Option<&mut EndpointSlot> {
+    pub(super) fn get_mut(&mut self, id: EndpointId) -> Option<&mut EndpointSlot> {
         self.slots.get_mut(&id)
     }
 
     /// Returns the endpoint that a connection is checked out for.
-    pub fn available(&mut self, id: EndpointId) -> Result<&mut EndpointSlot, CheckoutError> {
+    pub(super) fn available(&mut self, id: EndpointId) -> Result<&mut EndpointSlot, CheckoutError> {
         self.get_mut(id).ok_or(CheckoutError::EndpointUnavailable)
     }
 
     /// Returns the endpoint, if it still is in that epoch.
-    pub fn in_epoch(&self, id: EndpointId, epoch: Epoch) -> Option<&EndpointSlot> {
+    pub(super) fn in_epoch(&self, id: EndpointId, epoch: Epoch) -> Option<&EndpointSlot> {
         self.slots.get(&id).filter(|slot| slot.epoch == epoch)
     }
 
     /// Returns the endpoint to be changed, if it still is in that epoch.
-    pub fn in_epoch_mut(&mut self, id: EndpointId, epoch: Epoch) -> Option<&mut EndpointSlot> {
+    pub(super) fn in_epoch_mut(
+        &mut self,
+        id: EndpointId,
+        epoch: Epoch,
+    ) -> Option<&mut EndpointSlot> {
         self.slots.get_mut(&id).filter(|slot| slot.epoch == epoch)
     }
 
     /// Closes connections that have been idle for too long.
-    pub fn evict_expired(&mut self, now: Duration, idle_timeout: Duration) {
+    pub(super) fn evict_expired(&mut self, now: Duration, idle_timeout: Duration) {
         for slot in self.slots.values_mut() {
             slot.idle.evict_expired(now, idle_timeout);
         }
@@ -151,7 +155,7 @@
 
     /// Closes the connection that has been idle for longest, of all endpoints; returns false if
     /// none is idle.
-    pub fn close_longest_idle(&mut self) -> bool {
+    pub(super) fn close_longest_idle(&mut self) -> bool {
         let candidates = self
             .slots
             .values_mut()
@@ -164,7 +168,7 @@
 
     /// Returns all endpoints.
     #[cfg(test)]
-    pub fn slots(&self) -> &BTreeMap<EndpointId, EndpointSlot> {
+    pub(super) fn slots(&self) -> &BTreeMap<EndpointId, EndpointSlot> {
         &self.slots
     }
 }
--- a/crates/node/src/upstream/pool/epoch.rs
+++ b/crates/node/src/upstream/pool/epoch.rs
@@ -4,11 +4,11 @@
 ///
 /// No epoch is used twice, also when an endpoint is removed from the list and added again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Epoch(u64);
+pub(crate) struct Epoch(u64);
 
 impl Epoch {
     /// Returns the epoch after this one.
-    pub fn next(self) -> Self {
+    pub(crate) fn next(self) -> Self {
         Epoch(self.0 + 1)
     }
 }
--- a/crates/node/src/upstream/pool/error.rs
+++ b/crates/node/src/upstream/pool/error.rs
@@ -4,7 +4,7 @@
 
 /// Why a checkout brought no connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum CheckoutError {
+pub(crate) enum CheckoutError {
     /// The endpoint is not listed, or it has moved, restarted or begun to drain.
     #[error("endpoint not available")]
     EndpointUnavailable,
@@ -25,7 +25,7 @@
 impl CheckoutError {
     /// Returns how the attempt or health check ends that needed the connection. Only a failed
     /// connect says something about the endpoint.
-    pub fn outcome(self) -> Outcome {
+    pub(crate) fn outcome(self) -> Outcome {
         match self {
             CheckoutError::ConnectFailed => Outcome::ConnectFailed,
             CheckoutError::EndpointUnavailable
--- a/crates/node/src/upstream/pool/limit.rs
+++ b/crates/node/src/upstream/pool/limit.rs
@@ -4,14 +4,14 @@
 use std::rc::Rc;
 
 /// The limit on open connections, counted from the start of their dials.
-pub struct ConnectionLimit {
+pub(super) struct ConnectionLimit {
     open: Rc<Cell<usize>>,
     max: usize,
 }
 
 impl ConnectionLimit {
     /// Returns a limit of `max` connections.
-    pub fn new(max: usize) -> Self {
+    pub(super) fn new(max: usize) -> Self {
         ConnectionLimit {
             open: Rc::default(),
             max,
@@ -19,7 +19,7 @@
     }
 
     /// Returns a permit for one more connection, unless the limit is reached.
-    pub fn try_acquire(&self) -> Option<ConnectionPermit> {
+    pub(super) fn try_acquire(&self) -> Option<ConnectionPermit> {
         if self.open.get() >= self.max {
             return None;
         }
@@ -31,13 +31,13 @@
 
     /// Returns how many permits are held.
     #[cfg(test)]
-    pub fn open_count(&self) -> usize {
+    pub(super) fn open_count(&self) -> usize {
         self.open.get()
     }
 }
 
 /// The right to have one connection open. It is returned when dropped.
-pub struct ConnectionPermit {
+pub(super) struct ConnectionPermit {
     open: Rc<Cell<usize>>,
 }
 
--- a/crates/node/src/upstream/pool/mod.rs
+++ b/crates/node/src/upstream/pool/mod.rs
@@ -11,7 +11,7 @@
 mod limit;
 mod waiters;
 
-pub use connection::Connection;
+pub(crate) use connection::Connection;
 
 use crate::clock::Clock;
 use crate::message::ListedEndpoint;
@@ -30,7 +30,7 @@
 /// A second copy of a response may arrive some milliseconds behind the first. On a connection that
 /// carries another request by then, it would be taken for the response to that. Copies have been
 /// seen up to 4 ms late; a longer cool-down costs handshakes.
-pub const RESPONSE_COOLDOWN: Duration = Duration::from_millis(6);
+pub(crate) const RESPONSE_COOLDOWN: Duration = Duration::from_millis(6);
 /// The shortest time between two sweeps for connections that have been idle for too long.
 const MIN_SWEEP_INTERVAL: Duration = Duration::from_millis(5);
 /// The number of sweeps within one idle timeout.
@@ -38,7 +38,7 @@
 
 /// The options of the pool.
 #[derive(Clone, Debug)]
-pub struct PoolOptions {
+pub(crate) struct PoolOptions {
     /// The most connections that may be open at once, dials in flight included.
     pub max_connections: usize,
     /// How long a dial may take.
@@ -52,7 +52,7 @@
 /// What the pool holds.
 #[cfg(test)]
 #[derive(Debug, PartialEq, Eq)]
-pub struct PoolUsage {
+pub(crate) struct PoolUsage {
     /// The endpoints that are known.
     pub endpoints: usize,
     /// Open connections, dials in flight included.
@@ -64,7 +64,7 @@
 }
 
 /// The pool, shared by all attempts and health checks.
-pub struct Pool {
+pub(crate) struct Pool {
     clock: Clock,
     options: PoolOptions,
     /// How long a connection may be idle.
@@ -75,7 +75,7 @@
 
 impl Pool {
     /// Returns a pool that knows no endpoint yet, and starts the task that closes idle connections.
-    pub fn start(clock: Clock, options: PoolOptions) -> Rc<Self> {
+    pub(crate) fn start(clock: Clock, options: PoolOptions) -> Rc<Self> {
         let pool = Rc::new(Pool {
             clock,
             // A request written just when the endpoint closes the connection would end as a reset.
@@ -100,7 +100,7 @@
     }
 
     /// Applies an update of the endpoint list: where endpoints listen, and which are ready.
-    pub fn update(&self, kind: ListKind, listed: &[ListedEndpoint]) {
+    pub(crate) fn update(&self, kind: ListKind, listed: &[ListedEndpoint]) {
         self.endpoints.borrow_mut().apply(kind, listed);
     }
 
@@ -108,7 +108,7 @@
     /// whose last exchange needs no cool-down.
     ///
     /// The longest waiting attempt gets it; if nobody waits, it stays idle for the next.
-    pub fn release(&self, connection: Connection) {
+    pub(crate) fn release(&self, connection: Connection) {
         let mut endpoints = self.endpoints.borrow_mut();
         let Some(slot) = endpoints.in_epoch_mut(connection.endpoint, connection.epoch) else {
             return;
@@ -123,7 +123,7 @@
 
     /// Takes back a connection that has carried the response to a request. It is available once it
     /// has cooled down.
-    pub fn release_after_response(self: &Rc<Self>, mut connection: Connection) {
+    pub(crate) fn release_after_response(self: &Rc<Self>, mut connection: Connection) {
         let now = self.clock.now();
         let endpoint = connection.endpoint;
         connection.cooling_until = now + self.options.response_cooldown;
@@ -158,7 +158,7 @@
     /// ready, and still the one that was chosen.
     ///
     /// The grace of a drain is for requests that have been written by then.
-    pub fn destination(&self, connection: &Connection) -> Option<SocketAddr> {
+    pub(crate) fn destination(&self, connection: &Connection) -> Option<SocketAddr> {
         let endpoints = self.endpoints.borrow();
         let slot = endpoints.in_epoch(connection.endpoint, connection.epoch)?;
         slot.is_ready().then_some(slot.address)
@@ -166,7 +166,7 @@
 
     /// Returns what the pool holds now.
     #[cfg(test)]
-    pub fn usage(&self) -> PoolUsage {
+    pub(crate) fn usage(&self) -> PoolUsage {
         let endpoints = self.endpoints.borrow();
         let slots = endpoints.slots().values();
         PoolUsage {
@@ -179,4 +179,4 @@
 }
 
 #[cfg(test)]
-pub mod tests;
+pub(crate) mod tests;
--- a/crates/node/src/upstream/pool/tests.rs
+++ b/crates/node/src/upstream/pool/tests.rs
@@ -1,4 +1,4 @@
-pub mod harness;
+pub(crate) mod harness;
 
 use super::error::CheckoutError;
 use super::{Pool, PoolUsage};
--- a/crates/node/src/upstream/pool/tests/harness.rs
+++ b/crates/node/src/upstream/pool/tests/harness.rs
@@ -12,15 +12,17 @@
 use tokio::time::timeout;
 
 /// The endpoint's number.
-pub const ENDPOINT: EndpointId = EndpointId(1);
+pub(crate) const ENDPOINT: EndpointId = EndpointId(1);
 
 /// Runs a test with a pool that knows one endpoint, which listens.
-pub fn with_pool<T>(test: impl AsyncFnOnce(Rc<Pool>, TcpListener, ListedEndpoint) -> T) -> T {
+pub(crate) fn with_pool<T>(
+    test: impl AsyncFnOnce(Rc<Pool>, TcpListener, ListedEndpoint) -> T,
+) -> T {
     with_cooldown(RESPONSE_COOLDOWN, test)
 }
 
 /// Runs a test as [`with_pool`] does, with another cool-down after responses.
-pub fn with_cooldown<T>(
+pub(crate) fn with_cooldown<T>(
     response_cooldown: Duration,
     test: impl AsyncFnOnce(Rc<Pool>, TcpListener, ListedEndpoint) -> T,
 ) -> T {
@@ -46,7 +48,7 @@
 }
 
 /// The limit on open connections.
-pub const MAX_CONNECTIONS: usize = 16;
+pub(crate) const MAX_CONNECTIONS: usize = 16;
 
 fn options(response_cooldown: Duration) -> PoolOptions {
     PoolOptions {
@@ -58,7 +60,7 @@
 }
 
 /// Fills the listener's backlog: no dial succeeds any more.
-pub async fn fill_backlog(listener: &TcpListener) -> Vec<TcpStream> {
+pub(crate) async fn fill_backlog(listener: &TcpListener) -> Vec<TcpStream> {
     SockRef::from(listener).listen(0).expect("a shorter queue");
     let address = listener.local_addr().expect("its address");
     let mut clients = Vec::new();
--- a/crates/node/src/upstream/request.rs
+++ b/crates/node/src/upstream/request.rs
@@ -62,7 +62,7 @@
 }
 
 /// Returns the request of a health check.
-pub fn health_check(path: &'static str, destination: SocketAddr) -> Request<Full<Bytes>> {
+pub(super) fn health_check(path: &'static str, destination: SocketAddr) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::default());
     *request.method_mut() = Method::GET;
     *request.uri_mut() = Uri::from_static(path);
--- a/crates/node/src/upstream/response.rs
+++ b/crates/node/src/upstream/response.rs
@@ -20,7 +20,7 @@
 const REJECTED_TRUE: &str = "1";
 
 /// How an exchange with an endpoint ended.
-pub struct ExchangeResult {
+pub(super) struct ExchangeResult {
     /// How the exchange ended.
     pub outcome: Outcome,
     /// The load report in the response's headers.
@@ -31,7 +31,7 @@
 
 impl ExchangeResult {
     /// Returns the result of an exchange that ended without a response.
-    pub fn without_response(outcome: Outcome) -> Self {
+    pub(super) fn without_response(outcome: Outcome) -> Self {
         ExchangeResult {
             outcome,
             report: None,
@@ -50,7 +50,7 @@
 }
 
 /// A response that was read.
-pub struct ReceivedResponse {
+pub(super) struct ReceivedResponse {
     /// What the exchange brought.
     pub result: ExchangeResult,
     /// The connection that it came on, unless that had to be closed.
@@ -168,7 +168,7 @@
 ///
 /// Where the connection ended, the process may have died. Where the bytes made no sense, something
 /// responds there: that is a failure like another, and no reason to take the endpoint out of use.
-pub fn outcome_of_error(error: &hyper::Error) -> Outcome {
+pub(super) fn outcome_of_error(error: &hyper::Error) -> Outcome {
     if error.is_parse() || is_invalid_data(error) {
         Outcome::Error
     } else {
--- a/crates/node/tests/node/support/config.rs
+++ b/crates/node/tests/node/support/config.rs
@@ -5,12 +5,12 @@
 use std::net::SocketAddr;
 
 /// The index of the cached list.
-pub const CACHED_LIST_INDEX: u64 = 7;
+pub(crate) const CACHED_LIST_INDEX: u64 = 7;
 
 /// A configuration. Its cached list has no endpoints, and it allows [`NodeConfig::SOCKETS`]
 /// descriptors for sockets.
 #[derive(Clone, Debug)]
-pub struct NodeConfig {
+pub(crate) struct NodeConfig {
     name: &'static str,
     discovery: SocketAddr,
     /// The members of `limits` beside `cores`.
@@ -22,9 +22,9 @@
 
 impl NodeConfig {
     /// The descriptors for sockets, unless a test says otherwise.
-    pub const SOCKETS: u32 = 1024;
+    pub(crate) const SOCKETS: u32 = 1024;
 
-    pub fn new(discovery: SocketAddr, settings: &NodeSettings) -> Self {
+    pub(crate) fn new(discovery: SocketAddr, settings: &NodeSettings) -> Self {
         NodeConfig {
             name: "n0",
             discovery,
@@ -36,17 +36,17 @@
     }
 
     /// Sets the node's name.
-    pub fn name(self, name: &'static str) -> Self {
+    pub(crate) fn name(self, name: &'static str) -> Self {
         NodeConfig { name, ..self }
     }
 
     /// Sets the number of descriptors for sockets.
-    pub fn sockets(self, sockets: u32) -> Self {
+    pub(crate) fn sockets(self, sockets: u32) -> Self {
         self.limits(&format!(r#""memory_mb":192,"sockets":{sockets}"#))
     }
 
     /// Sets the limits, as members of a JSON object.
-    pub fn limits(self, limits: &str) -> Self {
+    pub(crate) fn limits(self, limits: &str) -> Self {
         NodeConfig {
             limits: limits.to_owned(),
             ..self
@@ -54,7 +54,7 @@
     }
 
     /// Sets the cached list, as JSON; `None` leaves it out.
-    pub fn cached_list(self, cached_list: Option<&str>) -> Self {
+    pub(crate) fn cached_list(self, cached_list: Option<&str>) -> Self {
         NodeConfig {
             cached_list: cached_list.map(str::to_owned),
             ..self
@@ -62,12 +62,12 @@
     }
 
     /// Sets the endpoints of the cached list.
-    pub fn cached_endpoints(self, entries: &[String]) -> Self {
+    pub(crate) fn cached_endpoints(self, entries: &[String]) -> Self {
         self.cached_list(Some(&snapshot(CACHED_LIST_INDEX, entries)))
     }
 
     /// Returns the text of the configuration file.
-    pub fn to_json(&self) -> String {
+    pub(crate) fn to_json(&self) -> String {
         let NodeConfig {
             name,
             discovery,
--- a/crates/node/tests/node/support/discovery.rs
+++ b/crates/node/tests/node/support/discovery.rs
@@ -8,7 +8,7 @@
 use std::thread::spawn;
 
 /// A discovery service that leaves the replies to the test.
-pub struct DiscoveryServer {
+pub(crate) struct DiscoveryServer {
     pub address: SocketAddr,
     calls: Receiver<DiscoveryCall>,
     /// The watch that was accepted last.
@@ -16,14 +16,14 @@
 }
 
 /// A call of the node to discovery: a watch or a poll. Its connection closes when it is dropped.
-pub struct DiscoveryCall {
+pub(crate) struct DiscoveryCall {
     pub start_line: String,
     stream: TcpStream,
 }
 
 impl DiscoveryServer {
     /// Starts a discovery service at a port of its own.
-    pub fn start() -> Self {
+    pub(crate) fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("its address");
         let (call_sender, calls) = channel();
@@ -36,36 +36,36 @@
     }
 
     /// Waits for the next call.
-    pub fn next_call(&self) -> DiscoveryCall {
+    pub(crate) fn next_call(&self) -> DiscoveryCall {
         self.calls
             .recv_timeout(TEST_TIMEOUT)
             .expect("a call to discovery")
     }
 
     /// Waits for the next call, and opens the watch on it.
-    pub fn accept_watch(&mut self) {
+    pub(crate) fn accept_watch(&mut self) {
         let call = self.next_call();
         self.open_watch(call);
     }
 
     /// Opens the watch on a call.
-    pub fn open_watch(&mut self, mut call: DiscoveryCall) {
+    pub(crate) fn open_watch(&mut self, mut call: DiscoveryCall) {
         call.start_stream();
         self.watch = Some(call);
     }
 
     /// Returns the start line of the call on which the watch was opened.
-    pub fn watch_start_line(&self) -> &str {
+    pub(crate) fn watch_start_line(&self) -> &str {
         &self.watch.as_ref().expect("a watch").start_line
     }
 
     /// Sends an endpoint list on the watch.
-    pub fn send_list(&mut self, list: &str) {
+    pub(crate) fn send_list(&mut self, list: &str) {
         self.watch.as_mut().expect("a watch").send_line(list);
     }
 
     /// Closes the connection of the watch.
-    pub fn break_watch(&mut self) {
+    pub(crate) fn break_watch(&mut self) {
         self.watch = None;
     }
 }
@@ -90,22 +90,22 @@
 
 impl DiscoveryCall {
     /// Sends the head of a reply whose lists follow line by line.
-    pub fn start_stream(&mut self) {
+    pub(crate) fn start_stream(&mut self) {
         self.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     }
 
     /// Sends a line in a chunk of its own.
-    pub fn send_line(&mut self, line: &str) {
+    pub(crate) fn send_line(&mut self, line: &str) {
         self.write(&format!("{:x}\r\n{line}\n\r\n", line.len() + 1));
     }
 
     /// Replies with an error.
-    pub fn fail(&mut self) {
+    pub(crate) fn fail(&mut self) {
         self.write("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n");
     }
 
     /// Sends these bytes.
-    pub fn write(&mut self, text: &str) {
+    pub(crate) fn write(&mut self, text: &str) {
         self.stream
             .write_all(text.as_bytes())
             .expect("the node listens to discovery");
@@ -113,34 +113,34 @@
 }
 
 /// Returns the entry of an endpoint that serves.
-pub fn in_service(name: &str, address: SocketAddr) -> String {
+pub(crate) fn in_service(name: &str, address: SocketAddr) -> String {
     entry_with_status(name, address, "in_service")
 }
 
 /// Returns the entry of an endpoint that drains.
-pub fn draining(name: &str, address: SocketAddr) -> String {
+pub(crate) fn draining(name: &str, address: SocketAddr) -> String {
     entry_with_status(name, address, "terminating")
 }
 
 /// Returns the entry of an endpoint that was removed.
-pub fn removed(name: &str, address: SocketAddr) -> String {
+pub(crate) fn removed(name: &str, address: SocketAddr) -> String {
     entry_with_status(name, address, "terminated")
 }
 
 /// Returns an entry of the endpoint list with a status as it stands on the wire.
-pub fn entry_with_status(name: &str, address: SocketAddr, status: &str) -> String {
+pub(crate) fn entry_with_status(name: &str, address: SocketAddr, status: &str) -> String {
     format!(
         r#"{{"name":"{name}","address":"{address}","zone":"a","type":"m","group":1,"status":"{status}","weight":1.0,"since_ms":0}}"#
     )
 }
 
 /// Returns a list that holds all endpoints.
-pub fn snapshot(index: u64, entries: &[String]) -> String {
+pub(crate) fn snapshot(index: u64, entries: &[String]) -> String {
     endpoint_list(index, true, entries)
 }
 
 /// Returns a list of the endpoints that have changed.
-pub fn delta(index: u64, entries: &[String]) -> String {
+pub(crate) fn delta(index: u64, entries: &[String]) -> String {
     endpoint_list(index, false, entries)
 }
 
--- a/crates/node/tests/node/support/endpoint.rs
+++ b/crates/node/tests/node/support/endpoint.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// What a scripted endpoint does with a request.
-pub enum ScriptedReply {
+pub(crate) enum ScriptedReply {
     /// A whole response. `status` is the status line after the version, `headers` are lines of
     /// headers.
     Response {
@@ -31,22 +31,22 @@
 }
 
 /// Returns a response of status 200 with this body.
-pub fn ok(body: &str) -> ScriptedReply {
+pub(crate) fn ok(body: &str) -> ScriptedReply {
     response("200 OK", "", body.as_bytes())
 }
 
 /// Returns a response of status 200 with these headers and without a body.
-pub fn ok_with_headers(headers: &'static str) -> ScriptedReply {
+pub(crate) fn ok_with_headers(headers: &'static str) -> ScriptedReply {
     response("200 OK", headers, b"")
 }
 
 /// Returns a response that proves that the request did not run.
-pub fn rejection(status: &'static str) -> ScriptedReply {
+pub(crate) fn rejection(status: &'static str) -> ScriptedReply {
     response(status, "X-Rejected: 1\r\n", b"")
 }
 
 /// Returns a response with a status, lines of headers, and a body.
-pub fn response(status: &'static str, headers: &'static str, body: &[u8]) -> ScriptedReply {
+pub(crate) fn response(status: &'static str, headers: &'static str, body: &[u8]) -> ScriptedReply {
     ScriptedReply::Response {
         status,
         headers,
@@ -55,7 +55,7 @@
 }
 
 /// A request as an endpoint received it.
-pub struct ReceivedRequest {
+pub(crate) struct ReceivedRequest {
     /// The number of its connection, from 0.
     pub connection: usize,
     pub message: Message,
@@ -68,7 +68,7 @@
 }
 
 /// An endpoint that replies by a script.
-pub struct ScriptedEndpoint {
+pub(crate) struct ScriptedEndpoint {
     pub address: SocketAddr,
     events: Receiver<EndpointEvent>,
     request_count: Arc<AtomicUsize>,
@@ -76,17 +76,19 @@
 
 impl ScriptedEndpoint {
     /// Starts an endpoint that responds to all requests with status 200 and this body.
-    pub fn serving(body: &'static str) -> Self {
+    pub(crate) fn serving(body: &'static str) -> Self {
         Self::start(move |_| ok(body))
     }
 
     /// Starts an endpoint that never responds.
-    pub fn silent() -> Self {
+    pub(crate) fn silent() -> Self {
         Self::start(|_| ScriptedReply::NoResponse)
     }
 
     /// Starts an endpoint that replies to each request as `script` says.
-    pub fn start(script: impl Fn(&Message) -> ScriptedReply + Send + Sync + 'static) -> Self {
+    pub(crate) fn start(
+        script: impl Fn(&Message) -> ScriptedReply + Send + Sync + 'static,
+    ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("its address");
         let (event_sender, events) = channel();
@@ -107,7 +109,7 @@
     }
 
     /// Waits for the next request.
-    pub fn next_request(&self) -> ReceivedRequest {
+    pub(crate) fn next_request(&self) -> ReceivedRequest {
         loop {
             if let EndpointEvent::Request(request) = self.next_event() {
                 return request;
@@ -116,7 +118,7 @@
     }
 
     /// Waits until a connection closes, and returns its number.
-    pub fn next_closed(&self) -> usize {
+    pub(crate) fn next_closed(&self) -> usize {
         loop {
             if let EndpointEvent::ConnectionClosed { connection } = self.next_event() {
                 return connection;
@@ -125,14 +127,14 @@
     }
 
     /// Returns whether a connection has closed; drops the events before that.
-    pub fn has_closed_connection(&self) -> bool {
+    pub(crate) fn has_closed_connection(&self) -> bool {
         self.events
             .try_iter()
             .any(|event| matches!(event, EndpointEvent::ConnectionClosed { .. }))
     }
 
     /// Returns the number of requests so far.
-    pub fn request_count(&self) -> usize {
+    pub(crate) fn request_count(&self) -> usize {
         self.request_count.load(Ordering::SeqCst)
     }
 
@@ -192,7 +194,7 @@
 }
 
 /// Starts two endpoints that share a script, which gets the number of earlier requests at either.
-pub fn endpoint_pair(
+pub(crate) fn endpoint_pair(
     script: impl Fn(usize) -> ScriptedReply + Send + Sync + 'static,
 ) -> (ScriptedEndpoint, ScriptedEndpoint) {
     let count = Arc::new(AtomicUsize::new(0));
@@ -206,7 +208,7 @@
 
 /// Starts two endpoints. The one that gets the first request replies to it by `first_reply`, and
 /// all other requests get the body `second`.
-pub fn endpoint_pair_with_first_reply(
+pub(crate) fn endpoint_pair_with_first_reply(
     first_reply: impl Fn() -> ScriptedReply + Send + Sync + 'static,
 ) -> (ScriptedEndpoint, ScriptedEndpoint) {
     endpoint_pair(move |before| {
@@ -219,6 +221,6 @@
 }
 
 /// Returns the number of requests that some endpoints have received.
-pub fn count_requests(endpoints: &[ScriptedEndpoint]) -> usize {
+pub(crate) fn count_requests(endpoints: &[ScriptedEndpoint]) -> usize {
     endpoints.iter().map(ScriptedEndpoint::request_count).sum()
 }
--- a/crates/node/tests/node/support/message.rs
+++ b/crates/node/tests/node/support/message.rs
@@ -5,7 +5,7 @@
 
 /// A request or a response. The names of its headers are in lower case.
 #[derive(Clone, Debug)]
-pub struct Message {
+pub(crate) struct Message {
     pub start_line: String,
     pub headers: BTreeMap<String, String>,
     pub body: Vec<u8>,
@@ -13,7 +13,7 @@
 
 impl Message {
     /// Returns the status of a response.
-    pub fn status(&self) -> u16 {
+    pub(crate) fn status(&self) -> u16 {
         self.start_line
             .split(' ')
             .nth(1)
@@ -22,13 +22,13 @@
     }
 
     /// Returns the value of a header. `name` is in lower case.
-    pub fn header(&self, name: &str) -> Option<&str> {
+    pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).map(String::as_str)
     }
 }
 
 /// Reads a message, whose body has a Content-Length if any; `None` if the connection ends first.
-pub fn read_message(stream: &mut impl BufRead) -> Option<Message> {
+pub(crate) fn read_message(stream: &mut impl BufRead) -> Option<Message> {
     let start_line = read_line(stream)?;
     let mut headers = BTreeMap::new();
     loop {
--- a/crates/node/tests/node/support/process.rs
+++ b/crates/node/tests/node/support/process.rs
@@ -17,14 +17,14 @@
 static CONFIG_NUMBER: AtomicUsize = AtomicUsize::new(0);
 
 /// The command of a node, and the file of its configuration.
-pub struct NodeCommand {
+pub(crate) struct NodeCommand {
     pub command: Command,
     config_path: PathBuf,
 }
 
 /// Returns the command of a node with this configuration. The system allows it `open_file_limit`
 /// descriptors; without a limit, as many as the test.
-pub fn node_command(config: &str, open_file_limit: Option<u32>) -> NodeCommand {
+pub(crate) fn node_command(config: &str, open_file_limit: Option<u32>) -> NodeCommand {
     let set_limit = match open_file_limit {
         Some(descriptors) => format!("ulimit -n {descriptors}; "),
         None => String::new(),
@@ -50,7 +50,7 @@
 }
 
 /// A node that runs. It is killed when this is dropped.
-pub struct NodeProcess {
+pub(crate) struct NodeProcess {
     child: Child,
     config_path: PathBuf,
     pub address: SocketAddr,
@@ -61,13 +61,13 @@
 
 impl NodeProcess {
     /// Starts a node with this configuration.
-    pub fn start(config: &NodeConfig) -> Self {
+    pub(crate) fn start(config: &NodeConfig) -> Self {
         Self::start_with_open_file_limit(&config.to_json(), None)
     }
 
     /// Starts a node with this configuration, to which the system allows `open_file_limit`
     /// descriptors.
-    pub fn start_with_open_file_limit(config: &str, open_file_limit: Option<u32>) -> Self {
+    pub(crate) fn start_with_open_file_limit(config: &str, open_file_limit: Option<u32>) -> Self {
         let NodeCommand {
             mut command,
             config_path,
@@ -95,7 +95,7 @@
     }
 
     /// Starts a node whose log nobody reads. The pipe is full, so that it can write none of it.
-    pub fn start_with_unread_log(config: &str) -> Self {
+    pub(crate) fn start_with_unread_log(config: &str) -> Self {
         let (mut full, read) = UnixStream::pair().expect("a pair");
         full.set_nonblocking(true).expect("its mode");
         while full.write(&[b'.'; 4096]).is_ok() {}
@@ -124,22 +124,22 @@
     }
 
     /// Connects a client to the node.
-    pub fn client(&self) -> Client {
+    pub(crate) fn client(&self) -> Client {
         Client::connect(self.address)
     }
 
     /// Returns whether the node says that it is ready.
-    pub fn is_ready(&self) -> bool {
+    pub(crate) fn is_ready(&self) -> bool {
         self.client().request("GET /health/ready", "", b"").status() == 200
     }
 
     /// Waits until a line of the log contains this text.
-    pub fn wait_for_log(&self, text: &str) {
+    pub(crate) fn wait_for_log(&self, text: &str) {
         wait_until(|| self.count_log_lines(text) > 0, text);
     }
 
     /// Counts the lines of the log that contain this text.
-    pub fn count_log_lines(&self, text: &str) -> usize {
+    pub(crate) fn count_log_lines(&self, text: &str) -> usize {
         self.log
             .lock()
             .expect("the log")
@@ -149,7 +149,7 @@
     }
 
     /// Returns the resident memory of the node in KiB.
-    pub fn resident_memory_kib(&self) -> usize {
+    pub(crate) fn resident_memory_kib(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
             .expect("its state");
         let line = status
@@ -163,7 +163,7 @@
     }
 
     /// Sends the node a signal, which `kill` knows by this name.
-    pub fn signal(&self, name: &str) {
+    pub(crate) fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         assert!(
             Command::new("kill")
@@ -175,12 +175,12 @@
     }
 
     /// Sends the node SIGTERM.
-    pub fn terminate(&self) {
+    pub(crate) fn terminate(&self) {
         self.signal("-TERM");
     }
 
     /// Replaces the configuration, and sends SIGHUP.
-    pub fn reload(&self, config: &str) {
+    pub(crate) fn reload(&self, config: &str) {
         let new = self.config_path.with_extension("new");
         std::fs::write(&new, config)
             .and_then(|()| std::fs::rename(&new, &self.config_path))
@@ -189,19 +189,19 @@
     }
 
     /// Returns whether the node has exited.
-    pub fn has_exited(&mut self) -> bool {
+    pub(crate) fn has_exited(&mut self) -> bool {
         self.child.try_wait().expect("its state").is_some()
     }
 
     /// Sends the node SIGKILL, and waits until it has exited.
-    pub fn kill(&mut self) {
+    pub(crate) fn kill(&mut self) {
         // The node may have exited by itself.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
     /// Waits until the node has exited.
-    pub fn wait_for_exit(&mut self) -> ExitStatus {
+    pub(crate) fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
         wait_until(
             || {
--- a/crates/node/tests/node/support/settings.rs
+++ b/crates/node/tests/node/support/settings.rs
@@ -1,15 +1,15 @@
 //! Settings of the node under test.
 
 /// A latency objective and deadline that no test reaches, in milliseconds.
-pub const LONG_MS: u64 = 20_000;
+pub(crate) const LONG_MS: u64 = 20_000;
 
 /// The longest body of a request or response that the node accepts.
-pub const MAX_BODY_BYTES: usize = 64 * 1024;
+pub(crate) const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// Settings with the classes `read` (idempotent), `submit` (keyed) and `correct` (not idempotent),
 /// which have the same times.
 #[derive(Clone, Debug)]
-pub struct NodeSettings {
+pub(crate) struct NodeSettings {
     /// The latency objective and deadline of all classes.
     pub objective_ms: u64,
     /// The weight of a response after the objective, if any.
@@ -41,7 +41,7 @@
 
 impl NodeSettings {
     /// Returns settings with this latency objective and deadline.
-    pub fn with_objective(objective_ms: u64) -> Self {
+    pub(crate) fn with_objective(objective_ms: u64) -> Self {
         NodeSettings {
             objective_ms,
             ..NodeSettings::default()
@@ -49,7 +49,7 @@
     }
 
     /// Returns settings by which the endpoint list must be polled.
-    pub fn polling() -> Self {
+    pub(crate) fn polling() -> Self {
         NodeSettings {
             poll_interval_ms: Some(1000),
             ..NodeSettings::default()
@@ -57,7 +57,7 @@
     }
 
     /// Returns the settings as they stand in a configuration.
-    pub fn to_json(&self) -> String {
+    pub(crate) fn to_json(&self) -> String {
         let classes = [
             self.class("read", "free"),
             self.class("submit", "guarded"),
--- a/crates/node/tests/node/support/setup.rs
+++ b/crates/node/tests/node/support/setup.rs
@@ -8,11 +8,11 @@
 use super::wait::wait_until;
 
 /// The index of the first list that a node is sent.
-pub const FIRST_LIST_INDEX: u64 = 8;
+pub(crate) const FIRST_LIST_INDEX: u64 = 8;
 
 /// How a node is started.
 #[derive(Clone, Debug, Default)]
-pub struct NodeSetup {
+pub(crate) struct NodeSetup {
     settings: NodeSettings,
     sockets: Option<u32>,
     limits: Option<&'static str>,
@@ -21,7 +21,7 @@
 }
 
 impl NodeSetup {
-    pub fn with_settings(settings: NodeSettings) -> Self {
+    pub(crate) fn with_settings(settings: NodeSettings) -> Self {
         NodeSetup {
             settings,
             ..NodeSetup::default()
@@ -29,7 +29,7 @@
     }
 
     /// Sets the number of descriptors for sockets that the configuration allows.
-    pub fn sockets(self, sockets: u32) -> Self {
+    pub(crate) fn sockets(self, sockets: u32) -> Self {
         NodeSetup {
             sockets: Some(sockets),
             ..self
@@ -37,7 +37,7 @@
     }
 
     /// Sets the limits of the configuration, as members of a JSON object.
-    pub fn limits(self, limits: &'static str) -> Self {
+    pub(crate) fn limits(self, limits: &'static str) -> Self {
         NodeSetup {
             limits: Some(limits),
             ..self
@@ -45,7 +45,7 @@
     }
 
     /// Sets the number of descriptors that the system allows.
-    pub fn open_file_limit(self, descriptors: u32) -> Self {
+    pub(crate) fn open_file_limit(self, descriptors: u32) -> Self {
         NodeSetup {
             open_file_limit: Some(descriptors),
             ..self
@@ -53,7 +53,7 @@
     }
 
     /// Leaves the log unread, with a full pipe.
-    pub fn unread_log(self) -> Self {
+    pub(crate) fn unread_log(self) -> Self {
         NodeSetup {
             has_unread_log: true,
             ..self
@@ -62,7 +62,7 @@
 
     /// Starts a node, sends it a list of these endpoints, and waits until it is ready. They are
     /// named `s-0`, `s-1` and so on.
-    pub fn start(self, endpoints: &[&ScriptedEndpoint]) -> (NodeProcess, DiscoveryServer) {
+    pub(crate) fn start(self, endpoints: &[&ScriptedEndpoint]) -> (NodeProcess, DiscoveryServer) {
         let mut discovery = DiscoveryServer::start();
         let mut config = NodeConfig::new(discovery.address, &self.settings);
         if let Some(sockets) = self.sockets {
@@ -90,6 +90,6 @@
 }
 
 /// Starts a node with the default settings that is ready and has a list of these endpoints.
-pub fn start_node(endpoints: &[&ScriptedEndpoint]) -> (NodeProcess, DiscoveryServer) {
+pub(crate) fn start_node(endpoints: &[&ScriptedEndpoint]) -> (NodeProcess, DiscoveryServer) {
     NodeSetup::default().start(endpoints)
 }
--- a/crates/xtask/src/verdict.rs
+++ b/crates/xtask/src/verdict.rs
@@ -16,12 +16,12 @@
 
 /// The files that tell of a run of the tests.
 ///
-/// Each test is named as PROGRAM/PATH::NAME, such as
-/// node/tests/node/main.rs::discovery::a_silent_watch_is_broken or
-/// ottertiller/src/main.rs::driver::tests::it_drives. PATH is the source file that cargo prints
+/// Each test is named as `PROGRAM/PATH::NAME`, such as
+/// `node/tests/node/main.rs::discovery::a_silent_watch_is_broken` or
+/// `ottertiller/src/main.rs::driver::tests::it_drives`. PATH is the source file that cargo prints
 /// ("Running PATH"), and PROGRAM the test program without its hash
 /// ("target/debug/deps/PROGRAM-0123456789abcdef"): packages of a workspace may have a file of the
-/// same path. Tests of the documentation are named CRATE/doc-tests::NAME. Where two programs have
+/// same path. Tests of the documentation are named `CRATE/doc-tests::NAME`. Where two programs have
 /// the same name all the same, the verdict fails.
 #[derive(Debug, Args)]
 pub(crate) struct TestRunFiles {
