--- a/crates/xtask/src/circles.rs
+++ b/crates/xtask/src/circles.rs
@@ -22,13 +22,20 @@
     NoCrates(PathBuf),
     /// Modules import one another in a circle.
     #[error("{}: {circle}", src.display())]
-    Circle { src: PathBuf, circle: Circle },
+    Circle {
+        /// The folder of the crate's sources.
+        src: PathBuf,
+        /// The modules and their imports.
+        circle: Circle,
+    },
 }
 
 /// Modules that can all be reached from one another, with the imports between them.
 #[derive(Debug)]
 pub(crate) struct Circle {
+    /// The number of modules.
     modules: usize,
+    /// The imports between them, each with the importing module first.
     imports: Vec<(ModulePath, ModulePath)>,
 }
 
--- a/crates/xtask/src/circles/import_graph.rs
+++ b/crates/xtask/src/circles/import_graph.rs
@@ -8,6 +8,7 @@
 
 /// The modules of a crate, each with the modules that it imports from.
 pub(super) struct ImportGraph {
+    /// The modules that each module imports from.
     imports: BTreeMap<ModulePath, BTreeSet<ModulePath>>,
 }
 
@@ -59,6 +60,7 @@
         reached
     }
 
+    /// Returns the circle of these modules.
     fn circle_of(&self, members: &BTreeSet<&ModulePath>) -> Circle {
         let mut imports = Vec::new();
         for importer in members {
--- a/crates/xtask/src/circles/imports.rs
+++ b/crates/xtask/src/circles/imports.rs
@@ -3,12 +3,17 @@
 use regex::Regex;
 use std::sync::LazyLock;
 
+/// A comment to the end of its line.
 static COMMENT: LazyLock<Regex> = LazyLock::new(|| pattern(r"//[^\n]*"));
+/// A visibility such as `pub(in crate::a)`, whose path is no import.
 static VISIBILITY: LazyLock<Regex> = LazyLock::new(|| pattern(r"\bpub\s*\([^)]*\)"));
+/// A `use` statement.
 static USE_STATEMENT: LazyLock<Regex> = LazyLock::new(|| pattern(r"\buse\s+([^;]+);"));
+/// A path in an expression that begins with `crate` or `super`.
 static CRATE_PATH: LazyLock<Regex> =
     LazyLock::new(|| pattern(r"\b(?:crate|super)(?:\s*::\s*\w+)+"));
 
+/// Compiles a pattern of this module.
 fn pattern(text: &str) -> Regex {
     Regex::new(text).expect("the pattern is well-formed")
 }
--- a/crates/xtask/src/circles/module_path.rs
+++ b/crates/xtask/src/circles/module_path.rs
@@ -40,6 +40,7 @@
         Some(ModulePath(resolved))
     }
 
+    /// Returns the segments of the module that this one lies in.
     fn parent(&self) -> Vec<String> {
         let parents = self.0.len().saturating_sub(1);
         self.0[..parents].to_vec()
--- a/crates/xtask/src/citations.rs
+++ b/crates/xtask/src/citations.rs
@@ -34,15 +34,21 @@
     /// Nothing has the cited name.
     #[error("{page}:{line}: `{cited}` names no test or function")]
     UnknownName {
+        /// The path of the page.
         page: String,
+        /// The number of the line, from 1.
         line: usize,
+        /// The text between the backticks.
         cited: String,
     },
     /// No Rust file has a path that ends so.
     #[error("{page}:{line}: `{cited}` names no file")]
     UnknownFile {
+        /// The path of the page.
         page: String,
+        /// The number of the line, from 1.
         line: usize,
+        /// The text between the backticks.
         cited: String,
     },
 }
@@ -77,6 +83,7 @@
     Ok(pages)
 }
 
+/// Returns the wrong citations of a page.
 fn check_page(page: &str, text: &str, symbols: &Symbols) -> Vec<CitationProblem> {
     let wrong = |(line, span): (usize, &str)| {
         let (page, cited) = (page.to_string(), span.to_string());
--- a/crates/xtask/src/citations/citation.rs
+++ b/crates/xtask/src/citations/citation.rs
@@ -42,6 +42,7 @@
 }
 
 impl<'a> CitedName<'a> {
+    /// Reads a span with `::`; returns `None` for the name of a type or of something within it.
     fn parse(span: &'a str) -> Option<Self> {
         let name = span.strip_prefix("..").unwrap_or(span);
         let (modules, last) = name.rsplit_once("::")?;
@@ -60,6 +61,7 @@
         (0..test.len()).any(|start| self.fits_whole(&test[start..]))
     }
 
+    /// Returns whether these segments, from the first on, are what is meant.
     fn fits_whole(&self, segments: &[&str]) -> bool {
         let Some(rest) = segments.strip_prefix(self.modules.as_slice()) else {
             return false;
@@ -74,6 +76,7 @@
 }
 
 impl LastSegment<'_> {
+    /// Returns whether what is given of the name could be that of a test or function.
     fn is_name(self) -> bool {
         match self {
             LastSegment::Whole(name) | LastSegment::Beginning(name) => is_name(name),
--- a/crates/xtask/src/citations/symbols.rs
+++ b/crates/xtask/src/citations/symbols.rs
@@ -7,6 +7,7 @@
 use std::collections::BTreeSet;
 use std::sync::LazyLock;
 
+/// The declaration of a function.
 static FUNCTION: LazyLock<Regex> =
     LazyLock::new(|| Regex::new(r"\bfn\s+(\w+)").expect("the pattern is well-formed"));
 
@@ -45,6 +46,7 @@
         self.has_test(name) || self.has_function(name)
     }
 
+    /// Returns whether a test has this name.
     fn has_test(&self, name: &CitedName) -> bool {
         self.tests.iter().any(|test| {
             let segments: Vec<&str> = test.split("::").collect();
@@ -52,6 +54,7 @@
         })
     }
 
+    /// Returns whether a function has this name, and its file that of the module.
     fn has_function(&self, name: &CitedName) -> bool {
         let (Some(module), LastSegment::Whole(function)) = (name.modules.last(), name.last) else {
             return false;
@@ -82,6 +85,7 @@
     qualified.unwrap_or(name)
 }
 
+/// Returns the functions of a file, each with its module.
 fn functions_of(file: &SourceFile) -> Vec<(String, String)> {
     let module = module_name(&file.path);
     let functions = FUNCTION.captures_iter(&file.text);
--- a/crates/xtask/src/decisions.rs
+++ b/crates/xtask/src/decisions.rs
@@ -18,14 +18,17 @@
 /// The columns between two tab stops.
 const TAB_WIDTH: usize = 8;
 
+/// The list of decision files in a deploy file.
 static POLICY_FILES: LazyLock<Regex> = LazyLock::new(|| pattern(r"(?m)^policy = \[([^\]\n]*)\]"));
 
+/// What does input or output, or leads to it.
 static INPUT_OR_OUTPUT: LazyLock<Regex> = LazyLock::new(|| {
     pattern(
         r"\b(std::(net|fs|io|env|process|thread)|tokio|rustix|socket2|Instant|SystemTime|e?println!|dbg!)",
     )
 });
 
+/// Compiles a pattern of this module.
 fn pattern(text: &str) -> Regex {
     Regex::new(text).expect("the pattern is well-formed")
 }
@@ -41,15 +44,28 @@
     NoRustSource(String),
     /// The file is too long.
     #[error("{file} has {lines} non-blank lines of {MAX_LINES}")]
-    TooLong { file: String, lines: usize },
+    TooLong {
+        /// The path of the file.
+        file: String,
+        /// The non-blank lines.
+        lines: usize,
+    },
     /// A line of the file is too long.
     #[error("{file} has a line of {width} characters of {MAX_WIDTH}")]
-    TooWide { file: String, width: usize },
+    TooWide {
+        /// The path of the file.
+        file: String,
+        /// The columns of its longest line.
+        width: usize,
+    },
     /// A line of the file names something that does input or output.
     #[error("{file} does input or output in line {number}: {line}")]
     InputOrOutput {
+        /// The path of the file.
         file: String,
+        /// The number of the line, from 1.
         number: usize,
+        /// The text of the line.
         line: String,
     },
 }
@@ -74,6 +90,7 @@
     Ok(problems)
 }
 
+/// Returns the paths that a deploy file names as decisions.
 fn policy_files(deploy_text: &str) -> Vec<String> {
     let lists = POLICY_FILES.captures_iter(deploy_text);
     lists
@@ -85,6 +102,7 @@
         .collect()
 }
 
+/// Returns what is wrong with the text of a decision file.
 fn check_text(file: &str, text: &str) -> Vec<DecisionProblem> {
     let mut problems = Vec::new();
     let file = || file.to_string();
--- a/crates/xtask/src/read_error.rs
+++ b/crates/xtask/src/read_error.rs
@@ -9,7 +9,9 @@
 #[derive(Debug, Error)]
 #[error("cannot read {}", path.display())]
 pub(crate) struct ReadError {
+    /// The file or folder.
     path: PathBuf,
+    /// Why it cannot be read.
     #[source]
     cause: io::Error,
 }
--- a/crates/xtask/src/source_tree.rs
+++ b/crates/xtask/src/source_tree.rs
@@ -44,6 +44,7 @@
     Ok(files)
 }
 
+/// Adds the Rust files below a folder, whose paths begin with `prefix`.
 fn collect_rust_files(
     folder: &Path,
     prefix: &str,
--- a/crates/xtask/src/sources.rs
+++ b/crates/xtask/src/sources.rs
@@ -23,7 +23,12 @@
     NoSources(PathBuf),
     /// The file is too long.
     #[error("{path} has {lines} non-blank lines of {MAX_LINES}")]
-    TooLong { path: String, lines: usize },
+    TooLong {
+        /// The path from the folder that is checked.
+        path: String,
+        /// The non-blank lines.
+        lines: usize,
+    },
     /// The file has tests and is no test file.
     #[error("{0} has tests; they belong into a test file")]
     HasTests(String),
@@ -38,6 +43,7 @@
     Ok(files.iter().flat_map(check_file).collect())
 }
 
+/// Returns what is wrong with a file.
 fn check_file(file: &SourceFile) -> Vec<SourceProblem> {
     let mut problems = Vec::new();
     let path = || file.path.clone();
--- a/crates/xtask/src/test_output.rs
+++ b/crates/xtask/src/test_output.rs
@@ -36,11 +36,13 @@
     }
 }
 
+/// Returns the text up to the first space.
 fn first_word(text: &str) -> String {
     let word = text.split_whitespace().next();
     word.unwrap_or_default().to_string()
 }
 
+/// Returns the name of a program without the hash that cargo adds.
 fn without_hash(file: &str) -> &str {
     match file.rsplit_once('-') {
         Some((name, hash)) if is_hash(hash) => name,
@@ -48,6 +50,7 @@
     }
 }
 
+/// Returns whether the text has hexadecimal digits only.
 fn is_hash(text: &str) -> bool {
     let is_digit = |byte: u8| matches!(byte, b'0'..=b'9' | b'a'..=b'f');
     !text.is_empty() && text.bytes().all(is_digit)
@@ -118,6 +121,7 @@
     result_lines(output).map(failures_in_result).sum()
 }
 
+/// Returns the lines in which programs count their results.
 fn result_lines(output: &str) -> impl Iterator<Item = &str> {
     lines(output).filter(|line| line.starts_with("test result:"))
 }
--- a/crates/xtask/src/verdict.rs
+++ b/crates/xtask/src/verdict.rs
@@ -15,14 +15,6 @@
 use thiserror::Error;
 
 /// The files that tell of a run of the tests.
-///
-/// Each test is named as PROGRAM/PATH::NAME, such as
-/// node/tests/node/main.rs::discovery::a_silent_watch_is_broken or
-/// ottertiller/src/main.rs::driver::tests::it_drives. PATH is the source file that cargo prints
-/// ("Running PATH"), and PROGRAM the test program without its hash
-/// ("target/debug/deps/PROGRAM-0123456789abcdef"): packages of a workspace may have a file of the
-/// same path. Tests of the documentation are named CRATE/doc-tests::NAME. Where two programs have
-/// the same name all the same, the verdict fails.
 #[derive(Debug, Args)]
 pub(crate) struct TestRunFiles {
     /// The file with what `cargo test -- --list` printed
@@ -56,9 +48,13 @@
 /// What is known of a run of the tests.
 #[derive(Debug)]
 pub(crate) struct TestRun {
+    /// What `cargo test -- --list` printed.
     listing: String,
+    /// What the run printed.
     output: String,
+    /// The exit code of the run.
     status: i32,
+    /// The text of `KNOWN-RED.txt`, empty if there is none.
     known_red: String,
 }
 
@@ -85,7 +81,12 @@
     NoTests,
     /// A test program ended without a result.
     #[error("{programs} test programs were run, and {results} came to an end")]
-    Unfinished { programs: usize, results: usize },
+    Unfinished {
+        /// The programs that were started.
+        programs: usize,
+        /// The programs that counted their results.
+        results: usize,
+    },
     /// The names that were found are not those of all failed tests.
     #[error("not all of the {0} failed tests could be named")]
     Unnamed(usize),
@@ -105,6 +106,7 @@
         Verdict { notes, failure }
     }
 
+    /// Returns why the run does not pass. Lines to print are added to `notes`.
     fn pass(&self, notes: &mut Vec<String>) -> Result<(), VerdictFailure> {
         require_distinct_programs(&self.listing)?;
         let tests = listed_tests(&self.listing);
@@ -156,6 +158,7 @@
     }
 }
 
+/// Requires that no two test programs have the same name.
 fn require_distinct_programs(listing: &str) -> Result<(), VerdictFailure> {
     let mut names = BTreeSet::new();
     let programs = announced_programs(listing);
--- a/crates/xtask/src/verdict/known_red.rs
+++ b/crates/xtask/src/verdict/known_red.rs
@@ -62,6 +62,7 @@
     Ok(listed)
 }
 
+/// Reads a line of the list.
 fn parse_line(line: &str) -> Result<KnownRed, KnownRedError> {
     let malformed = || KnownRedError::Malformed(line.to_string());
     let fields = LINE.captures(line).ok_or_else(malformed)?;
