--- a/crates/balancer/src/endpoints/endpoint_set.rs
+++ b/crates/balancer/src/endpoints/endpoint_set.rs
@@ -6,16 +6,16 @@
 use std::collections::BTreeMap;
 
 /// The listed endpoints, and the ring of those that are ready.
-pub struct EndpointSet {
+pub(crate) struct EndpointSet {
     by_id: BTreeMap<EndpointId, Endpoint>,
     ready: Ring,
-    /// Whether any list has had endpoints: what appears after that was absent before.
+    /// Whether any list so far has had endpoints.
     has_listed_endpoints: bool,
 }
 
 impl EndpointSet {
-    /// No endpoints yet.
-    pub fn new(settings: &Settings) -> Self {
+    /// Returns an empty set.
+    pub(crate) fn new(settings: &Settings) -> Self {
         EndpointSet {
             by_id: BTreeMap::new(),
             ready: Ring::new(settings),
@@ -23,33 +23,33 @@
         }
     }
 
-    /// A listed endpoint.
-    pub fn get(&self, id: EndpointId) -> Option<&Endpoint> {
+    /// Returns a listed endpoint.
+    pub(crate) fn get(&self, id: EndpointId) -> Option<&Endpoint> {
         self.by_id.get(&id)
     }
 
-    /// A listed endpoint, to be changed.
-    pub fn get_mut(&mut self, id: EndpointId) -> Option<&mut Endpoint> {
+    /// Returns a listed endpoint, to be changed.
+    pub(crate) fn get_mut(&mut self, id: EndpointId) -> Option<&mut Endpoint> {
         self.by_id.get_mut(&id)
     }
 
-    /// How many endpoints are listed.
-    pub fn len(&self) -> usize {
+    /// Returns the number of listed endpoints.
+    pub(crate) fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// How many of them are ready.
-    pub fn ready_count(&self) -> usize {
+    /// Returns the number of listed endpoints that are ready.
+    pub(crate) fn ready_count(&self) -> usize {
         self.ready.len()
     }
 
-    /// The ready endpoints in the order of the ring, from this node's place on.
-    pub fn ring(&self) -> impl Iterator<Item = &Endpoint> {
+    /// Returns the ready endpoints in the order of the ring, from this node's place on.
+    pub(crate) fn ring(&self) -> impl Iterator<Item = &Endpoint> {
         self.ready.iter().filter_map(|id| self.by_id.get(id))
     }
 
-    /// The mean send count of the next so many endpoints on the ring.
-    pub fn mean_send_count(&self, endpoints: usize) -> u32 {
+    /// Returns the mean send count of the next so many endpoints on the ring.
+    pub(crate) fn mean_send_count(&self, endpoints: usize) -> u32 {
         let endpoints = endpoints.min(self.ready.len());
         let sends: u32 = self
             .ring()
@@ -59,14 +59,15 @@
         sends / endpoints.max(1) as u32
     }
 
-    /// Whether any list so far has had endpoints: what appears after that was not listed before.
-    pub fn has_listed_endpoints(&self) -> bool {
+    /// Returns whether any list so far has had endpoints. What appears after that was not listed
+    /// before.
+    pub(crate) fn has_listed_endpoints(&self) -> bool {
         self.has_listed_endpoints
     }
 
     /// Applies entries of the list. `new_endpoint` returns the state of an endpoint that is new or
     /// has restarted.
-    pub fn apply(
+    pub(crate) fn apply(
         &mut self,
         kind: ListKind,
         entries: Vec<EndpointEntry>,
--- a/crates/balancer/tests/decisions/admission.rs
+++ b/crates/balancer/tests/decisions/admission.rs
@@ -1,12 +1,20 @@
 //! Admission: what is shed when there is more to do than the endpoints can.
 
-use crate::simulation::fixtures::*;
-use crate::simulation::node::NodeSimulation;
-use crate::support::*;
-use ottertiller_balancer::*;
+use crate::support::serve_one;
+use ottertiller_balancer::{Outcome, Tenant};
+use ottertiller_balancer_simulation::actions::{count_attempts, endpoints_attempted, is_shed};
+use ottertiller_balancer_simulation::fixtures::classes::{IDEMPOTENT, NOT_IDEMPOTENT};
+use ottertiller_balancer_simulation::fixtures::{ms, response_report_settings};
+use ottertiller_balancer_simulation::node::{AttemptId, NodeSimulation, RequestOptions};
+use std::time::Duration;
+
+/// A response time just within the latency objective of 400 ms.
+const JUST_WITHIN_OBJECTIVE: Duration = Duration::from_millis(390);
+/// The requests in flight that a crowded endpoint reports.
+const CROWDED: f32 = 3.0;
 
 #[test]
-fn a_tenant_beyond_its_quota_is_shed_first() {
+fn tenant_over_quota_is_shed_first() {
     let mut settings = response_report_settings();
     settings.tenants = vec![
         Tenant {
@@ -17,62 +25,70 @@
     ];
     settings.over_quota_weight = 0.1;
     let mut node = NodeSimulation::with_endpoints(settings, 2);
-    // Tenant 0 floods, tenant 1 keeps to its quota; crowded endpoints respond to nothing in time.
-    let mut sheds = [0, 0];
+    // Tenant 0 exceeds its quota, tenant 1 does not; endpoints complete a tenth of the requests.
+    let (mut sent, mut shed) = ([0, 0], [0, 0]);
     for step in 0..2000 {
         let tenant = usize::from(step % 23 == 0);
-        let (_, actions) = node.request_with(1, tenant, ms(1000), None);
-        sheds[tenant] += usize::from(is_shed(&actions));
+        sent[tenant] += 1;
+        let (_, actions) = node.request_with(RequestOptions {
+            class: NOT_IDEMPOTENT,
+            tenant,
+            ..RequestOptions::default()
+        });
+        shed[tenant] += usize::from(is_shed(&actions));
         node.advance(ms(5));
-        let in_flight = node.in_flight();
-        if step % 10 == 0 && !in_flight.is_empty() {
-            node.end_attempt(in_flight[0].0, in_flight[0].1, Outcome::Served, None);
+        let oldest = node.attempts_in_flight().first().copied();
+        if let Some(attempt) = oldest.filter(|_| step % 10 == 0) {
+            node.end_attempt(attempt, Outcome::Served, None);
         }
     }
-    let [flood, modest] = [sheds[0] as f64 / 1913.0, sheds[1] as f64 / 87.0];
+    assert_eq!(sent, [1913, 87]);
+    let [over_quota, within_quota] = [0, 1].map(|tenant| shed[tenant] as f64 / sent[tenant] as f64);
     assert!(
-        flood > 0.3 && modest < flood,
-        "shed: {flood} of the flood, {modest} of the modest tenant"
+        over_quota > 0.3 && within_quota < over_quota,
+        "shed: {over_quota} of the tenant over quota, {within_quota} of the one within"
     );
 }
 
+/// A node without any history must not send dozens of requests to an endpoint before its first
+/// attempt there times out.
 #[test]
-fn a_node_that_starts_during_an_overload_fills_no_endpoint_up() {
-    // Guards against: dozens of requests of one node at an endpoint before its first time-out.
+fn fresh_node_limits_requests_in_flight_during_overload() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
     for _ in 0..300 {
-        node.request(1);
+        node.request(NOT_IDEMPOTENT);
         node.advance(ms(1));
     }
     assert!(
-        node.in_flight().len() <= 4 * 2,
+        node.attempts_in_flight().len() <= 4 * 2,
         "{} in flight at four silent endpoints",
-        node.in_flight().len()
+        node.attempts_in_flight().len()
     );
 }
 
+/// Endpoints are already overloaded when nearly all responses arrive just within the latency
+/// objective, so such responses must not open crowding levels.
 #[test]
-fn responses_just_within_the_objective_close_a_crowding_level() {
-    // Guards against: endpoints are overloaded while nearly all responses are still in time.
-    let fill = |answer: u64| {
+fn responses_near_objective_close_crowding_level() {
+    let most_in_flight = |response_time: Duration| {
         let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
         let mut most = 0;
         for _ in 0..2000 {
-            node.request(1);
+            node.request(NOT_IDEMPOTENT);
             node.advance(ms(2));
-            most = most.max(node.in_flight().len());
-            let due: Vec<_> = node
-                .in_flight()
-                .into_iter()
-                .filter(|(id, _)| node.since_first_attempt(*id) >= ms(answer))
-                .collect();
-            due.into_iter().for_each(|(id, attempt)| {
-                drop(node.end_attempt(id, attempt, Outcome::Served, Some(3.0)))
-            });
+            most = most.max(node.attempts_in_flight().len());
+            for attempt in node.attempts_in_flight() {
+                if node.since_first_attempt(attempt.request) >= response_time {
+                    node.end_attempt(attempt, Outcome::Served, Some(CROWDED));
+                }
+            }
         }
         most
     };
-    let (quick, late) = (fill(100), fill(390));
+    let (quick, late) = (
+        most_in_flight(ms(100)),
+        most_in_flight(JUST_WITHIN_OBJECTIVE),
+    );
     assert!(
         quick >= 4 * 4,
         "{quick} in flight at four endpoints: responses with time to spare open the levels"
@@ -83,71 +99,75 @@
     );
 }
 
+/// In an overload, the fraction of requests that is shed depends on their priority.
 #[test]
-fn in_an_overload_the_higher_priority_is_admitted_first() {
-    // Guards against: the same part of all is shed, whatever its priority.
+fn higher_priority_is_admitted_first_in_overload() {
     let mut settings = response_report_settings();
-    settings.classes[1].priority_weight = 10.0;
+    settings.classes[NOT_IDEMPOTENT].priority_weight = 10.0;
     let mut node = NodeSimulation::with_endpoints(settings, 4);
     let mut sent = [0, 0];
     for step in 0..600 {
-        let class = step % 2;
+        let class = [IDEMPOTENT, NOT_IDEMPOTENT][step % 2];
         let (id, actions) = node.request(class);
         if !endpoints_attempted(&actions).is_empty() {
             sent[class] += 1;
-            node.advance(ms(390)); // with nothing to spare
-            node.end_attempt(id, 0, Outcome::Served, Some(3.0));
+            node.advance(JUST_WITHIN_OBJECTIVE);
+            node.end_attempt(AttemptId::first(id), Outcome::Served, Some(CROWDED));
         }
     }
-    assert!(sent[1] > 2 * sent[0] && sent[0] > 0, "{sent:?}");
+    let [low, high] = [sent[IDEMPOTENT], sent[NOT_IDEMPOTENT]];
+    assert!(high > 2 * low && low > 0, "{sent:?}");
 }
 
+/// Hundreds of nodes may overload the endpoints with one request each, while no endpoint looks
+/// crowded to any of them. A node then sheds, and admits all again after the overload.
 #[test]
-fn when_even_seemingly_idle_endpoints_are_late_a_node_sheds_and_then_recovers() {
-    // Hundreds of nodes may overload the endpoints with one request each: none of them looks
-    // crowded to its node.
+fn late_responses_of_idle_endpoints_cause_shedding_and_recovery() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
-    let sent = |node: &mut NodeSimulation, takes: u64| {
+    let sent = |node: &mut NodeSimulation, response_time: Duration| {
         let mut sent = 0;
         for _ in 0..200 {
-            let (id, actions) = node.request(1);
+            let (id, actions) = node.request(NOT_IDEMPOTENT);
             if !endpoints_attempted(&actions).is_empty() {
                 sent += 1;
-                node.advance(ms(takes));
-                node.end_attempt(id, 0, Outcome::Served, Some(3.0));
+                node.advance(response_time);
+                node.end_attempt(AttemptId::first(id), Outcome::Served, Some(CROWDED));
             }
         }
         sent
     };
-    assert_eq!(sent(&mut node, 50), 200);
-    let slow = sent(&mut node, 390);
+    assert_eq!(sent(&mut node, ms(50)), 200);
+    let slow = sent(&mut node, JUST_WITHIN_OBJECTIVE);
     assert!((15..100).contains(&slow), "{slow}");
-    sent(&mut node, 50);
-    assert_eq!(sent(&mut node, 50), 200);
+    sent(&mut node, ms(50));
+    assert_eq!(sent(&mut node, ms(50)), 200);
 }
 
+/// While endpoints are busy, a heavy request that cannot finish in time would take the place of
+/// many light ones. It is sent if most endpoints are idle.
 #[test]
-fn a_request_hopeless_by_its_cost_hint_is_shed_at_once() {
-    // Guards against: with busy endpoints, heavy requests that can't be in time take the place of
-    // many light ones.
+fn request_with_cost_beyond_objective_is_shed_at_once() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
     for _ in 0..60 {
-        serve_one(&mut node, 3.0); // none is idle
+        serve_one(&mut node, CROWDED); // none is idle
     }
+    let with_cost = |work| RequestOptions {
+        class: NOT_IDEMPOTENT,
+        cost_hint: Some(ms(work)),
+        ..RequestOptions::default()
+    };
+    let (light, heavy) = (with_cost(200), with_cost(420));
     assert!(
-        is_shed(&node.request_with(1, 0, ms(1000), Some(ms(420))).1),
+        is_shed(&node.request_with(heavy).1),
         "420 ms of work, 400 to the objective"
     );
-    assert_eq!(
-        endpoints_attempted(&node.request_with(1, 0, ms(1000), Some(ms(200))).1).len(),
-        1
-    );
+    assert_eq!(count_attempts(&node.request_with(light).1), 1);
     for _ in 0..200 {
         serve_one(&mut node, 0.0);
     }
     assert_eq!(
-        endpoints_attempted(&node.request_with(1, 0, ms(1000), Some(ms(420))).1).len(),
+        count_attempts(&node.request_with(heavy).1),
         1,
-        "most are idle: it may try"
+        "most are idle: it may be sent"
     );
 }
--- a/crates/balancer/tests/decisions/hedging.rs
+++ b/crates/balancer/tests/decisions/hedging.rs
@@ -1,14 +1,23 @@
 //! Hedged requests: what follows an attempt without a response.
 
-use crate::simulation::fixtures::*;
-use crate::simulation::node::NodeSimulation;
-use crate::support::*;
-use ottertiller_balancer::*;
+use crate::support::play_requests;
+use ottertiller_balancer::Outcome;
+use ottertiller_balancer_simulation::actions::count_attempts_of;
+use ottertiller_balancer_simulation::fixtures::classes::{
+    IDEMPOTENT, KEYED_EVERYWHERE, NOT_IDEMPOTENT,
+};
+use ottertiller_balancer_simulation::fixtures::{ms, response_report_settings};
+use ottertiller_balancer_simulation::node::{AttemptId, NodeSimulation};
 
+/// A response that never arrives must not take the whole time of its request. The idempotency of
+/// the class decides whether a second attempt follows.
 #[test]
-fn an_attempt_without_a_response_is_followed_by_another_as_far_as_its_class_allows() {
-    // Guards against: a response that never comes takes the request's whole time.
-    for (class, further) in [(0, true), (1, false), (4, true)] {
+fn silent_attempt_is_followed_by_another_if_class_allows() {
+    for (class, may_follow) in [
+        (IDEMPOTENT, true),
+        (NOT_IDEMPOTENT, false),
+        (KEYED_EVERYWHERE, true),
+    ] {
         for parallel in [false, true] {
             let mut settings = response_report_settings();
             settings.limits.parallel_attempts = parallel;
@@ -16,35 +25,39 @@
             play_requests(&mut node, 100, |_| Outcome::Served); // responses take 30 ms
             let (id, _) = node.request(class);
             node.advance(ms(if parallel { 200 } else { 390 }));
-            let attempts = node
-                .actions
-                .iter()
-                .filter(|a| matches!(a, Action::StartAttempt { id: i, .. } if *i == id))
-                .count();
+            let attempts = count_attempts_of(&node.actions, id);
             assert_eq!(
                 attempts > 1,
-                further,
+                may_follow,
                 "class {class}, parallel {parallel}: {attempts} attempts"
             );
         }
     }
 }
 
-/// The endpoint goes on working on a cancelled attempt: where no two attempts may be in flight, to
-/// cancel one is waste until the next would come too late.
+/// The endpoint goes on working on a cancelled attempt. Where no two attempts may be in flight, an
+/// attempt is cancelled only when the next one would otherwise come too late.
 #[test]
-fn where_one_attempt_is_allowed_it_is_cancelled_only_when_the_next_has_just_enough_time() {
-    for class in [0, 4] {
+fn single_attempt_is_cancelled_only_in_time_for_next() {
+    for class in [IDEMPOTENT, KEYED_EVERYWHERE] {
         let mut settings = response_report_settings();
         settings.limits.parallel_attempts = false;
         let mut node = NodeSimulation::with_endpoints(settings, 6);
         // Responses take 30 ms, and nearly all would within 120.
         play_requests(&mut node, 300, |_| Outcome::Served);
         let (id, _) = node.request(class);
-        // A slow response is still waited for; retries of class 4 are deduplicated for 300 ms only.
+        // The attempt still waits for a slow response; keyed requests are deduplicated for 300 ms.
         node.advance(ms(250));
-        assert_eq!(node.in_flight(), [(id, 0)], "class {class}");
+        assert_eq!(
+            node.attempts_in_flight(),
+            [AttemptId::first(id)],
+            "class {class}"
+        );
         node.advance(ms(50));
-        assert_eq!(node.in_flight(), [(id, 1)], "class {class}");
+        assert_eq!(
+            node.attempts_in_flight(),
+            [AttemptId::new(id, 1)],
+            "class {class}"
+        );
     }
 }
--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -1,6 +1,6 @@
 //! HTTP calls to discovery: watching the endpoint list.
 
-use crate::discovery::error::ClientError;
+use crate::discovery::error::DiscoveryError;
 use crate::discovery::framing::{ListFramer, WatchLine};
 use crate::discovery::list_deadline::ListDeadline;
 use crate::socket::{self, Socket};
@@ -15,30 +15,31 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::timeout;
 
+/// The path of the endpoint list.
 const LIST_PATH: &str = "/registry/instances";
 
 /// Calls discovery, with a connection for each call.
-pub struct Client {
+pub struct DiscoveryClient {
     address: SocketAddr,
     connect_timeout: Duration,
 }
 
-impl Client {
-    /// A client of the discovery that listens at `address`.
+impl DiscoveryClient {
+    /// Returns a client of the discovery service that listens at `address`.
     pub fn new(address: SocketAddr, connect_timeout: Duration) -> Self {
-        Client {
+        DiscoveryClient {
             address,
             connect_timeout,
         }
     }
 
-    /// Calls go to this address from now on.
+    /// Sends calls to this address from now on.
     pub fn set_address(&mut self, address: SocketAddr) {
         self.address = address;
     }
 
-    /// Watches the list from the version that the node has.
-    pub async fn watch(&self, version: u64) -> Result<Watch, ClientError> {
+    /// Opens a watch that begins with the changes after `version`, the one that the node has.
+    pub async fn watch(&self, version: u64) -> Result<Watch, DiscoveryError> {
         let deadline = ListDeadline::start();
         let path = format!("{LIST_PATH}?stream=1&index={version}");
         let call = deadline.limit_call(self.exchange(&path)).await?;
@@ -50,11 +51,12 @@
         })
     }
 
-    async fn exchange(&self, path: &str) -> Result<Call, ClientError> {
+    /// Connects, sends a request and waits until its response begins.
+    async fn exchange(&self, path: &str) -> Result<Call, DiscoveryError> {
         let connected = timeout(self.connect_timeout, socket::connect(self.address)).await;
         let stream = connected
-            .map_err(|_| ClientError::ConnectTimedOut)?
-            .map_err(ClientError::Connect)?;
+            .map_err(|_| DiscoveryError::ConnectTimedOut)?
+            .map_err(DiscoveryError::Connect)?;
         let (socket, _) = Socket::new(stream);
         let (mut sender, driver) = http1::handshake(socket).await?;
         let connection = Connection(spawn_local(async move {
@@ -69,12 +71,12 @@
                 response,
                 connection,
             }),
-            status => Err(ClientError::UnexpectedStatus(status)),
+            status => Err(DiscoveryError::UnexpectedStatus(status)),
         }
     }
 }
 
-/// A call that was answered.
+/// A call whose response has begun.
 struct Call {
     response: Response<Incoming>,
     connection: Connection,
@@ -93,14 +95,14 @@
 pub struct Watch {
     body: Incoming,
     framer: ListFramer,
-    /// Of what comes next, a list or a heartbeat.
+    /// The time limit of what comes next, a list or a heartbeat.
     deadline: ListDeadline,
     _connection: Connection,
 }
 
 impl Watch {
-    /// The text of the next list or change of the list.
-    pub async fn next_list(&mut self) -> Result<Bytes, ClientError> {
+    /// Returns the text of the next list or delta, once it has arrived whole.
+    pub async fn next_list(&mut self) -> Result<Bytes, DiscoveryError> {
         loop {
             match self.framer.next_line()? {
                 Some(WatchLine::List(list)) => {
@@ -113,7 +115,7 @@
                         .deadline
                         .next_part(&mut self.body)
                         .await?
-                        .ok_or(ClientError::StreamEnded)?;
+                        .ok_or(DiscoveryError::StreamEnded)?;
                     self.framer.push(&part);
                 }
             }
--- a/crates/node/src/discovery/error.rs
+++ b/crates/node/src/discovery/error.rs
@@ -6,12 +6,12 @@
 
 /// Why a call to discovery, or the watch that it opened, has failed.
 #[derive(Debug, thiserror::Error)]
-pub enum ClientError {
+pub enum DiscoveryError {
     /// The connection was not established within its timeout.
-    #[error("not connected in time")]
+    #[error("connect timed out")]
     ConnectTimedOut,
     /// The connection could not be established.
-    #[error("cannot connect: {0}")]
+    #[error("cannot connect")]
     Connect(#[source] io::Error),
     /// The response or the next list did not arrive within its timeout.
     #[error("timed out")]
--- a/crates/node/src/discovery/watch.rs
+++ b/crates/node/src/discovery/watch.rs
@@ -1,8 +1,8 @@
 //! Where changes of the list are pushed: a watch for good.
 
-use crate::discovery::error::ClientError;
-use crate::discovery::{Discovery, ListSource, next_address};
-use crate::logging::log;
+use crate::discovery::error::DiscoveryError;
+use crate::discovery::{Discovery, ListSource, next_address, parse_list};
+use crate::logging::{ErrorChain, log};
 use std::convert::Infallible;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,14 +10,15 @@
 use tokio::time::{Instant, sleep};
 
 impl Discovery {
-    /// Watches for good. While a watch is broken, the list stays as it is.
+    /// Watches the list, and opens the watch anew whenever it fails. The list stays as it is
+    /// meanwhile.
     pub(super) async fn watch_forever(&mut self, mut addresses: watch::Receiver<SocketAddr>) {
         loop {
             let opened = Instant::now();
             tokio::select! {
                 error = self.watch() => {
                     let wait = self.backoff.next_wait(opened.elapsed());
-                    log(format_args!("endpoint list watch failed: {error}"));
+                    log_watch_failure(&error);
                     self.wait_to_watch_again(wait, &mut addresses).await;
                 }
                 address = next_address(&mut addresses) => self.move_to(address),
@@ -37,17 +38,26 @@
         }
     }
 
-    /// Watches until that breaks; returns why.
-    pub(super) async fn watch(&mut self) -> ClientError {
+    /// Watches the list until that fails, and returns why.
+    pub(super) async fn watch(&mut self) -> DiscoveryError {
         let Err(error) = self.apply_watched_lists().await;
         error
     }
 
-    async fn apply_watched_lists(&mut self) -> Result<Infallible, ClientError> {
-        let mut watch = self.client.watch(self.version).await?;
+    /// Applies each list that a watch brings.
+    async fn apply_watched_lists(&mut self) -> Result<Infallible, DiscoveryError> {
+        let mut watch = self.client.watch(self.version.number()).await?;
         loop {
-            let list = watch.next_list().await?;
-            self.apply_list(&list, ListSource::Watched).await;
+            let text = watch.next_list().await?;
+            if let Some(list) = parse_list(&text) {
+                self.apply_list(list, ListSource::Watched).await;
+            }
         }
     }
 }
+
+/// Logs why a watch has failed.
+pub(super) fn log_watch_failure(error: &DiscoveryError) {
+    let cause = ErrorChain(error);
+    log(format_args!("endpoint list watch failed: {cause}"));
+}
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,5 +1,6 @@
-//! One node: clients downstream, endpoints upstream, discovery for the list of endpoints, and
-//! between them the driver, which owns the balancer.
+//! A load-balancing HTTP node. [`downstream`] serves clients, [`upstream`] sends requests to
+//! endpoints, and [`discovery`] keeps the list of endpoints up to date. Between them, [`driver`]
+//! owns the balancer, which decides.
 //!
 //! Dependencies run one way. [`startup`] builds all parts from the configuration, which only it and
 //! [`reload`] know. [`driver`] starts attempts through [`upstream`]; otherwise [`downstream`],
@@ -16,12 +17,12 @@
 mod memory_budget;
 mod message;
 mod reload;
-mod request_table;
 mod signals;
 mod socket;
 mod startup;
 mod upstream;
 
+use logging::ErrorChain;
 use startup::NodeError;
 use std::process::ExitCode;
 use tokio::task::LocalSet;
@@ -29,7 +30,7 @@
 fn main() -> ExitCode {
     let result = run();
     if let Err(error) = &result {
-        logging::log(error);
+        logging::log(ErrorChain(error));
     }
     logging::flush();
     if result.is_ok() {
--- a/crates/node/src/upstream/pool/dial.rs
+++ b/crates/node/src/upstream/pool/dial.rs
@@ -1,13 +1,15 @@
 //! Dialling: opening a connection to an endpoint.
 
 use crate::limits::READ_BUFFER_BYTES;
-use crate::logging::log_peer;
+use crate::logging::{ErrorChain, log_peer};
 use crate::socket::{self, Socket};
 use crate::upstream::pool::Pool;
-use crate::upstream::pool::connection::{CheckoutResult, Connection, ConnectionPermit};
+use crate::upstream::pool::connection::{CheckoutResult, Connection};
 use crate::upstream::pool::epoch::Epoch;
+use crate::upstream::pool::error::CheckoutError;
+use crate::upstream::pool::limit::ConnectionPermit;
 use hyper::client::conn::http1;
-use ottertiller_balancer::{EndpointId, Outcome};
+use ottertiller_balancer::EndpointId;
 use rustix::io::Errno;
 use std::io;
 use std::net::SocketAddr;
@@ -33,17 +35,21 @@
 enum DialError {
     /// This node or its system is out of descriptors, memory or ports, which says nothing about the
     /// endpoint.
-    #[error("cannot dial: {0}")]
-    LocalResources(io::Error),
-    #[error("cannot connect: {0}")]
-    Connect(io::Error),
-    #[error("not connected in time")]
+    #[error("out of local resources")]
+    LocalResources(#[source] io::Error),
+    /// The endpoint could not be connected to.
+    #[error("cannot connect")]
+    Connect(#[source] io::Error),
+    /// The connection was not established within its timeout.
+    #[error("connect timed out")]
     TimedOut,
-    #[error("the handshake failed: {0}")]
-    Handshake(hyper::Error),
+    /// The HTTP layer could not be set up on the connection.
+    #[error("handshake failed")]
+    Handshake(#[source] hyper::Error),
 }
 
 impl DialError {
+    /// Tells a want of this node's own resources from the failure of a connect.
     fn from_connect(error: io::Error) -> Self {
         match Errno::from_io_error(&error) {
             Some(
@@ -52,12 +58,14 @@
             _ => DialError::Connect(error),
         }
     }
+}
 
-    fn outcome(&self) -> Outcome {
-        match self {
-            DialError::LocalResources(_) => Outcome::NotSent,
+impl From<DialError> for CheckoutError {
+    fn from(error: DialError) -> Self {
+        match error {
+            DialError::LocalResources(_) => CheckoutError::LocalResources,
             DialError::Connect(_) | DialError::TimedOut | DialError::Handshake(_) => {
-                Outcome::ConnectFailed
+                CheckoutError::ConnectFailed
             }
         }
     }
@@ -75,20 +83,28 @@
         });
     }
 
+    /// Opens a connection. If this node is out of resources, the longest idle one is closed for the
+    /// next dial.
     async fn dial(&self, dial: Dial) -> CheckoutResult {
-        connect(dial, self.options.connect_timeout)
-            .await
-            .map_err(|error| {
-                if let DialError::LocalResources(_) = error {
-                    log_peer(&error);
-                    self.registry.borrow_mut().close_longest_idle();
-                }
-                error.outcome()
-            })
+        let endpoint = dial.endpoint;
+        let connected = connect(dial, self.options.connect_timeout).await;
+        connected.map_err(|error| {
+            if let DialError::LocalResources(_) = error {
+                let cause = ErrorChain(&error);
+                log_peer(format_args!(
+                    "cannot dial: endpoint {:x}: {cause}",
+                    endpoint.0
+                ));
+                self.endpoints.borrow_mut().close_longest_idle();
+            }
+            error.into()
+        })
     }
 
+    /// Gives the connection to the longest waiting attempt, or fails those that are left without a
+    /// dial.
     fn dial_ended(&self, endpoint: EndpointId, epoch: Epoch, result: CheckoutResult) {
-        match self.registry.borrow_mut().in_epoch_mut(endpoint, epoch) {
+        match self.endpoints.borrow_mut().in_epoch_mut(endpoint, epoch) {
             Some(slot) => slot.dials_in_flight -= 1,
             // The endpoint has moved, restarted, drained or been removed since: its waiters have
             // failed by that.
@@ -97,11 +113,12 @@
         let failure = match result {
             Ok(connection) => {
                 self.release(connection);
-                Outcome::NotSent // should it have broken at once
+                // Waiters are left without a dial only if it has broken at once.
+                CheckoutError::ConnectionClosed
             }
-            Err(outcome) => outcome,
+            Err(error) => error,
         };
-        if let Some(slot) = self.registry.borrow_mut().get_mut(endpoint) {
+        if let Some(slot) = self.endpoints.borrow_mut().get_mut(endpoint) {
             // More wait than there are dials: the longest waiting learns that its dial has failed.
             slot.waiters.remove_cancelled();
             slot.waiters.fail_down_to(slot.dials_in_flight, failure);
@@ -109,6 +126,7 @@
     }
 }
 
+/// Opens a connection within a timeout, and starts the task that drives it.
 async fn connect(dial: Dial, connect_timeout: Duration) -> Result<Connection, DialError> {
     let connected = timeout(connect_timeout, socket::connect(dial.address)).await;
     let stream = connected
--- a/crates/node/src/upstream/pool/tests.rs
+++ b/crates/node/src/upstream/pool/tests.rs
@@ -1,56 +1,17 @@
-use super::*;
-use ottertiller_balancer::{EndpointEntry, EndpointState, Outcome};
-use socket2::SockRef;
-use tokio::net::{TcpListener, TcpSocket, TcpStream};
-use tokio::task::LocalSet;
-use tokio::time::timeout;
+pub mod harness;
 
-pub const ENDPOINT: EndpointId = EndpointId(1);
-
-/// Runs a test with a pool that knows one endpoint, which listens.
-pub fn with_pool<T>(test: impl AsyncFnOnce(Rc<Pool>, TcpListener, ListedEndpoint) -> T) -> T {
-    with_cooldown(RESPONSE_COOLDOWN, test)
-}
-
-fn with_cooldown<T>(
-    response_cooldown: Duration,
-    test: impl AsyncFnOnce(Rc<Pool>, TcpListener, ListedEndpoint) -> T,
-) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .expect("a runtime");
-    LocalSet::new().block_on(&runtime, async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let pool = Pool::start(Clock::start(), options(response_cooldown));
-        let entry = EndpointEntry {
-            id: ENDPOINT,
-            state: EndpointState::Ready,
-            ..EndpointEntry::default()
-        };
-        let endpoint = ListedEndpoint {
-            entry,
-            address: listener.local_addr().expect("its address"),
-        };
-        pool.update(ListKind::Snapshot, std::slice::from_ref(&endpoint));
-        test(pool, listener, endpoint).await
-    })
-}
-
-const MAX_CONNECTIONS: usize = 16;
-
-fn options(response_cooldown: Duration) -> PoolOptions {
-    PoolOptions {
-        max_connections: MAX_CONNECTIONS,
-        connect_timeout: Duration::from_millis(250),
-        endpoint_idle_timeout: Duration::from_secs(15),
-        response_cooldown,
-    }
-}
+use super::error::CheckoutError;
+use super::{Pool, PoolUsage};
+use crate::message::ListedEndpoint;
+use harness::{ENDPOINT, MAX_CONNECTIONS, fill_backlog, with_cooldown, with_pool};
+use ottertiller_balancer::{EndpointId, EndpointState, ListKind};
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::net::TcpSocket;
 
 /// How many connections to the endpoint are idle in the pool.
 fn idle(pool: &Pool) -> usize {
-    pool.registry
+    pool.endpoints
         .borrow()
         .slots()
         .get(&ENDPOINT)
@@ -58,7 +19,7 @@
 }
 
 #[test]
-fn an_attempt_waiting_for_a_dial_takes_a_released_connection_and_the_late_dial_is_kept() {
+fn a_waiter_takes_a_released_connection_and_its_dial_is_kept() {
     with_pool(async |pool, _listener, _| {
         let first = pool.checkout(ENDPOINT).await.expect("a connection");
         let freed = first.task.id();
@@ -75,14 +36,14 @@
         }
         let late = pool.checkout(ENDPOINT).await.expect("a connection");
         assert_ne!(late.task.id(), freed);
-        assert_eq!(pool.limit.get(), 2, "nothing further was dialled");
+        assert_eq!(pool.limit.open_count(), 2, "nothing further was dialled");
     });
 }
 
 /// Neither the runtime nor hyper have had a turn since the bytes came: only the kernel knows of
 /// them.
 #[test]
-fn a_connection_is_not_reused_once_bytes_arrived_behind_its_response() {
+fn a_connection_with_unread_bytes_is_not_reused() {
     use std::io::Write;
     with_pool(async |pool, listener, _| {
         let first = pool.checkout(ENDPOINT).await.expect("a connection");
@@ -115,21 +76,8 @@
     }
 }
 
-/// Fills the listener's backlog: no dial succeeds any more.
-async fn fill_backlog(listener: &TcpListener) -> Vec<TcpStream> {
-    SockRef::from(listener).listen(0).expect("a shorter queue");
-    let address = listener.local_addr().expect("its address");
-    let mut clients = Vec::new();
-    while let Ok(Ok(client)) =
-        timeout(Duration::from_millis(500), TcpStream::connect(address)).await
-    {
-        clients.push(client);
-    }
-    clients
-}
-
 #[test]
-fn a_waiting_attempt_gets_a_cooled_down_connection_if_no_dial_succeeds() {
+fn a_waiter_gets_a_cooled_connection_if_no_dial_succeeds() {
     with_cooldown(Duration::from_millis(1), async |pool, listener, _| {
         let first = pool.checkout(ENDPOINT).await.expect("a connection");
         let used = first.task.id();
@@ -150,7 +98,7 @@
 /// What was decided for an endpoint that was ready and warm is not written to one that drains, or
 /// has just been started again, at its old address or elsewhere.
 #[test]
-fn an_attempt_waiting_for_a_dial_fails_at_once_when_its_endpoint_drains_or_restarts() {
+fn a_waiter_fails_at_once_if_its_endpoint_drains_or_restarts() {
     let drains = |endpoint: &mut ListedEndpoint| endpoint.entry.state = EndpointState::Draining;
     let restarts =
         |endpoint: &mut ListedEndpoint| endpoint.entry.started = Some(Duration::from_secs(1));
@@ -170,13 +118,17 @@
                 }
             }
             // Not that its dial has failed, which says nothing of the endpoint as it is now.
-            assert_eq!(waiting.await.err(), Some(Outcome::NotSent), "case {case}");
+            assert_eq!(
+                waiting.await.err(),
+                Some(CheckoutError::EndpointUnavailable),
+                "case {case}"
+            );
         });
     }
 }
 
 #[test]
-fn a_connection_delivered_to_a_cancelled_attempt_goes_back_to_the_pool() {
+fn a_connection_delivered_to_a_cancelled_waiter_is_released() {
     with_pool(async |pool, _listener, _| {
         let first = pool.checkout(ENDPOINT).await.expect("a connection");
         let freed = first.task.id();
@@ -215,7 +167,7 @@
         pool.update(ListKind::Delta, &[endpoint]);
         assert_eq!(
             pool.checkout(UNREACHABLE).await.err(),
-            Some(Outcome::ConnectFailed)
+            Some(CheckoutError::ConnectFailed)
         );
         let usage = pool.usage();
         assert_eq!(
@@ -230,24 +182,27 @@
 }
 
 #[test]
-fn at_the_limit_an_idle_connection_makes_room_and_one_in_use_does_not() {
+fn at_the_limit_only_an_idle_connection_makes_room() {
     with_pool(async |pool, _listener, _| {
         let mut in_use = Vec::new();
         for _ in 0..MAX_CONNECTIONS {
             in_use.push(pool.checkout(ENDPOINT).await.expect("a connection"));
         }
-        assert_eq!(pool.checkout(ENDPOINT).await.err(), Some(Outcome::NotSent));
+        assert_eq!(
+            pool.checkout(ENDPOINT).await.err(),
+            Some(CheckoutError::ConnectionLimit)
+        );
         let cooling = in_use.pop().expect("a connection");
         let closed = cooling.task.id();
         pool.release_after_response(cooling);
         let next = pool.checkout(ENDPOINT).await.expect("a connection");
         assert_ne!(next.task.id(), closed);
-        assert_eq!(pool.limit.get(), MAX_CONNECTIONS);
+        assert_eq!(pool.limit.open_count(), MAX_CONNECTIONS);
     });
 }
 
 #[test]
-fn an_endpoint_missing_from_a_complete_list_is_forgotten_with_its_connections() {
+fn an_endpoint_missing_from_a_snapshot_is_removed_entirely() {
     with_pool(async |pool, _listener, _| {
         let idle_connection = pool.checkout(ENDPOINT).await.expect("a connection");
         let in_use = pool.checkout(ENDPOINT).await.expect("a connection");
@@ -255,8 +210,11 @@
         pool.update(ListKind::Snapshot, &[]);
         assert_eq!(pool.destination(&in_use), None);
         pool.release(in_use);
-        assert_eq!(pool.checkout(ENDPOINT).await.err(), Some(Outcome::NotSent));
-        let nothing = Usage {
+        assert_eq!(
+            pool.checkout(ENDPOINT).await.err(),
+            Some(CheckoutError::EndpointUnavailable)
+        );
+        let nothing = PoolUsage {
             endpoints: 0,
             open_connections: 0,
             waiting_attempts: 0,
--- a/crates/node/src/upstream/pool/waiters.rs
+++ b/crates/node/src/upstream/pool/waiters.rs
@@ -1,7 +1,7 @@
 //! The attempts that wait for a connection to one endpoint.
 
 use crate::upstream::pool::connection::{CheckoutResult, Connection};
-use ottertiller_balancer::Outcome;
+use crate::upstream::pool::error::CheckoutError;
 use std::collections::VecDeque;
 use tokio::sync::oneshot;
 
@@ -10,19 +10,19 @@
 pub struct WaiterQueue(VecDeque<oneshot::Sender<CheckoutResult>>);
 
 impl WaiterQueue {
-    /// Adds a waiter; what it is given arrives at the receiver.
+    /// Adds a waiter, and returns where its connection will arrive.
     pub fn enqueue(&mut self) -> oneshot::Receiver<CheckoutResult> {
         let (waiter, delivery) = oneshot::channel();
         self.0.push_back(waiter);
         delivery
     }
 
-    /// Forgets the waiters that have given up.
+    /// Removes the waiters that have given up.
     pub fn remove_cancelled(&mut self) {
         self.0.retain(|waiter| !waiter.is_closed());
     }
 
-    /// Gives a connection to the longest waiting; it comes back if nobody waits.
+    /// Gives a connection to the longest waiting; returns it if nobody waits.
     pub fn deliver(&mut self, mut connection: Connection) -> Option<Connection> {
         while let Some(waiter) = self.0.pop_front() {
             match waiter.send(Ok(connection)) {
@@ -34,26 +34,26 @@
     }
 
     /// Fails the longest waiting until no more than `remaining` are left.
-    pub fn fail_down_to(&mut self, remaining: usize, outcome: Outcome) {
+    pub fn fail_down_to(&mut self, remaining: usize, error: CheckoutError) {
         while self.0.len() > remaining {
             let Some(waiter) = self.0.pop_front() else {
                 break;
             };
-            let _ = waiter.send(Err(outcome)); // fails only if it has given up
+            let _ = waiter.send(Err(error)); // fails only if it has given up
         }
     }
 
     /// Fails all waiters.
-    pub fn fail_all(&mut self, outcome: Outcome) {
-        self.fail_down_to(0, outcome);
+    pub fn fail_all(&mut self, error: CheckoutError) {
+        self.fail_down_to(0, error);
     }
 
-    /// How many wait, those that have given up since the last check included.
+    /// Returns how many wait, those included that have given up since the last removal.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether nobody waits.
+    /// Returns whether nobody waits.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/node/src/upstream/request.rs
+++ b/crates/node/src/upstream/request.rs
@@ -8,14 +8,16 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// The call id, which is the same in all attempts of a request.
 const CALL_ID: HeaderName = HeaderName::from_static("x-call-id");
 /// The milliseconds until the node stops waiting for the attempt.
 const BUDGET_MS: HeaderName = HeaderName::from_static("x-budget-ms");
+/// The key by which endpoints drop repeats.
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
 impl Attempt {
-    /// The request as it is written at `now`, if it still may be: not past its time, not once
-    /// endpoints have forgotten its idempotency key, and not once it has its final response.
+    /// Returns the request as it is written at `now`, if it still may be: not past its time, not
+    /// once endpoints have forgotten its idempotency key, and not once it has its final response.
     pub(super) fn request(
         &self,
         now: Duration,
@@ -24,41 +26,42 @@
         if now >= self.expires_at || self.is_key_forgotten(now) {
             return None;
         }
-        let body = self.forward.body()?;
+        let body = self.upstream_request.body()?;
         let mut request = Request::new(Full::new(body));
-        *request.method_mut() = self.forward.method.clone();
-        *request.uri_mut() = self.forward.path.clone().into();
+        *request.method_mut() = self.upstream_request.method.clone();
+        *request.uri_mut() = self.upstream_request.path.clone().into();
         self.insert_headers(request.headers_mut(), now, destination);
-        if self.forward.first_byte.get().is_none() {
-            self.forward.first_byte.set(Some(now));
+        if self.upstream_request.first_sent_at.get().is_none() {
+            self.upstream_request.first_sent_at.set(Some(now));
         }
         Some(request)
     }
 
-    /// Whether endpoints may have forgotten an earlier attempt of a keyed request, and would run it
-    /// again.
+    /// Returns whether endpoints may have forgotten an earlier attempt of a keyed request, and
+    /// would run it again.
     fn is_key_forgotten(&self, now: Duration) -> bool {
         match (
-            self.forward.idempotency_window,
-            self.forward.first_byte.get(),
+            self.upstream_request.idempotency_window,
+            self.upstream_request.first_sent_at.get(),
         ) {
             (Some(window), Some(first_byte)) => now >= first_byte + window,
             _ => false,
         }
     }
 
+    /// Adds the headers that endpoints are sent.
     fn insert_headers(&self, headers: &mut HeaderMap, now: Duration, destination: SocketAddr) {
         let remaining_ms = (self.expires_at - now).as_millis().max(1) as u64;
         headers.insert(HOST, host(destination));
-        headers.insert(CALL_ID, self.forward.call_id.clone());
+        headers.insert(CALL_ID, self.upstream_request.call_id.clone());
         headers.insert(BUDGET_MS, remaining_ms.into());
-        if let Some(key) = &self.forward.idempotency_key {
+        if let Some(key) = &self.upstream_request.idempotency_key {
             headers.insert(IDEMPOTENCY_KEY, key.clone());
         }
     }
 }
 
-/// A health check's request.
+/// Returns the request of a health check.
 pub fn health_check(path: &'static str, destination: SocketAddr) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::default());
     *request.method_mut() = Method::GET;
@@ -67,6 +70,7 @@
     request
 }
 
+/// Returns the value of the `Host` header.
 fn host(address: SocketAddr) -> HeaderValue {
     // An address is always a valid value.
     HeaderValue::from_str(&address.to_string()).unwrap_or(HeaderValue::from_static("endpoint"))
--- a/crates/node/src/upstream/response.rs
+++ b/crates/node/src/upstream/response.rs
@@ -10,12 +10,13 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderMap, HeaderName, TRANSFER_ENCODING};
 use hyper::{Response, StatusCode};
-use ottertiller_balancer::{EndpointId, LoadReport, Outcome};
+use ottertiller_balancer::{LoadReport, Outcome};
 use std::error::Error;
 use std::io::{self, ErrorKind};
 
 /// Marks a response whose request was rejected before it ran.
 const REJECTED: HeaderName = HeaderName::from_static("x-rejected");
+/// The one value of [`REJECTED`] that counts.
 const REJECTED_TRUE: &str = "1";
 
 /// How an exchange with an endpoint ended.
@@ -29,7 +30,7 @@
 }
 
 impl ExchangeResult {
-    /// An exchange that ended without a response.
+    /// Returns the result of an exchange that ended without a response.
     pub fn without_response(outcome: Outcome) -> Self {
         ExchangeResult {
             outcome,
@@ -38,6 +39,7 @@
         }
     }
 
+    /// Returns the result of an exchange whose response was dropped unread.
     fn without_body(outcome: Outcome, report: Option<LoadReport>) -> Self {
         ExchangeResult {
             outcome,
@@ -55,78 +57,92 @@
     pub connection: Option<Connection>,
 }
 
-/// Why a response was dropped unread.
+impl ReceivedResponse {
+    /// Returns a response after which the connection is closed.
+    fn closing_connection(result: ExchangeResult) -> Self {
+        ReceivedResponse {
+            result,
+            connection: None,
+        }
+    }
+}
+
+/// Why a response is dropped before its body is read.
 #[derive(Debug, thiserror::Error)]
-enum Unreadable {
-    #[error("endpoint {:x}: response too long: dropped", .0.0)]
-    TooLong(EndpointId),
-    #[error("memory budget exhausted: response dropped")]
-    OutOfMemory,
+enum ResponseDropped {
+    /// The body is longer than any that is forwarded.
+    #[error("response too long")]
+    TooLong,
+    /// No memory is left for the body.
+    #[error("memory budget exhausted")]
+    MemoryBudgetExhausted,
 }
 
 impl Upstream {
     /// Reads a response to its end, so that one that breaks off is an outcome like others and the
-    /// client never gets half of it. One without a length ends with its connection: whole if that
-    /// is closed in order, and broken off if it is reset.
+    /// client never gets half of it.
+    ///
+    /// One without a length ends with its connection: whole if that is closed in order, and broken
+    /// off if it is reset.
     pub(super) async fn read_response(
         &self,
         connection: Connection,
         response: Response<Incoming>,
     ) -> ReceivedResponse {
         let (head, body) = response.into_parts();
-        let ends_with_connection =
-            body.size_hint().exact().is_none() && !head.headers.contains_key(TRANSFER_ENCODING);
+        let keeps_connection = is_delimited(&head.headers, &body);
         let report = self.load_reports.parse_headers(&head.headers);
-        let lease = match self.lease_for_body(connection.endpoint, &body) {
+        let lease = match self.lease_for_body(&body) {
             Ok(lease) => lease,
             Err(error) => {
-                log_peer(error);
+                let endpoint = connection.endpoint.0;
+                log_peer(format_args!(
+                    "response dropped: endpoint {endpoint:x}: {error}"
+                ));
                 let result = ExchangeResult::without_body(Outcome::Error, report);
-                return ReceivedResponse {
-                    result,
-                    connection: None,
-                };
+                return ReceivedResponse::closing_connection(result);
             }
         };
         let body = match Limited::new(body, MAX_BODY_BYTES).collect().await {
             Ok(body) => lease.keep(body.to_bytes()),
             Err(error) => {
-                let outcome = error
-                    .downcast_ref()
-                    .map_or(Outcome::Error, outcome_of_error);
-                let result = ExchangeResult::without_response(outcome);
-                return ReceivedResponse {
-                    result,
-                    connection: None,
-                };
+                let result = ExchangeResult::without_response(outcome_of_body_error(&*error));
+                return ReceivedResponse::closing_connection(result);
             }
         };
         let outcome = outcome_of_status(head.status, &head.headers);
-        let body = (outcome == Outcome::Served).then_some(body);
-        let connection = (!ends_with_connection).then_some(connection);
+        let result = ExchangeResult {
+            outcome,
+            report,
+            body: (outcome == Outcome::Served).then_some(body),
+        };
         ReceivedResponse {
-            result: ExchangeResult {
-                outcome,
-                report,
-                body,
-            },
-            connection,
+            result,
+            connection: keeps_connection.then_some(connection),
         }
     }
 
-    /// Room in memory for a response's body.
-    fn lease_for_body(&self, endpoint: EndpointId, body: &Incoming) -> Result<Lease, Unreadable> {
+    /// Leases memory for a response's body.
+    fn lease_for_body(&self, body: &Incoming) -> Result<Lease, ResponseDropped> {
         let max_length = match body.size_hint().exact() {
             Some(length) => usize::try_from(length).unwrap_or(usize::MAX),
             None => MAX_BODY_BYTES,
         };
         if max_length > MAX_BODY_BYTES {
-            return Err(Unreadable::TooLong(endpoint));
+            return Err(ResponseDropped::TooLong);
         }
-        self.budget.lease(max_length).ok_or(Unreadable::OutOfMemory)
+        self.budget
+            .lease(max_length)
+            .ok_or(ResponseDropped::MemoryBudgetExhausted)
     }
 }
 
+/// Returns whether a response says where its body ends; one that does not ends with its connection.
+fn is_delimited(headers: &HeaderMap, body: &Incoming) -> bool {
+    body.size_hint().exact().is_some() || headers.contains_key(TRANSFER_ENCODING)
+}
+
+/// Returns how an exchange ended that brought a whole response.
 fn outcome_of_status(status: StatusCode, headers: &HeaderMap) -> Outcome {
     let rejected = headers
         .get(REJECTED)
@@ -141,9 +157,17 @@
     }
 }
 
-/// What a response that did not arrive completely says about its endpoint. Where the connection
-/// ended, the process may have died. Where the bytes made no sense, something responds there: that
-/// is a failure like another, and no reason to take the endpoint out of use.
+/// Returns how an exchange ended whose response's body broke off, or was too long.
+fn outcome_of_body_error(error: &(dyn Error + 'static)) -> Outcome {
+    error
+        .downcast_ref()
+        .map_or(Outcome::Error, outcome_of_error)
+}
+
+/// Returns how an exchange ended whose response did not arrive completely.
+///
+/// Where the connection ended, the process may have died. Where the bytes made no sense, something
+/// responds there: that is a failure like another, and no reason to take the endpoint out of use.
 pub fn outcome_of_error(error: &hyper::Error) -> Outcome {
     if error.is_parse() || is_invalid_data(error) {
         Outcome::Error
@@ -152,6 +176,7 @@
     }
 }
 
+/// Returns whether the I/O layer found that the bytes made no sense.
 fn is_invalid_data(error: &hyper::Error) -> bool {
     let cause = error
         .source()
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -105,16 +105,9 @@
     /// The record or the list entry ends before a field.
     #[error(transparent)]
     Truncated(#[from] FieldError),
-    /// A node's settings cannot be used. The text of the error has that of its sources already, so
-    /// it is none itself.
-    #[error("{0}")]
-    Settings(SettingsError),
-}
-
-impl From<SettingsError> for RecordError {
-    fn from(error: SettingsError) -> Self {
-        RecordError::Settings(error)
-    }
+    /// A node's settings cannot be used.
+    #[error("bad settings")]
+    Settings(#[from] SettingsError),
 }
 
 /// A field that the bytes end before or within.
