--- a/crates/balancer/src/settings/schema/mod.rs
+++ b/crates/balancer/src/settings/schema/mod.rs
@@ -1,5 +1,5 @@
 //! The JSON of a settings file, in the words of the wire protocol, and what each part of it becomes
-//! in the [`Settings`](super::Settings). Times are milliseconds; keys that are missing get the
+//! in the [`Settings`]. Times are milliseconds; keys that are missing get the
 //! defaults given here.
 
 mod class;
