--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,10 +1,9 @@
-//! The decisions of a load-balancing proxy, without the proxy.
+//! The decisions of a load-balancing node.
 //!
-//! A [`Balancer`] is told by [`Event`]s what happens at one node and answers with [`Action`]s:
-//! which endpoint each request goes to, when it is retried, hedged, shed or failed. Its ordinary
-//! path is Join-Up-To(m). The crate is sans-I/O: it reads no clock, opens no socket and shares
-//! nothing with other nodes; the same events always give the same actions.
-#![warn(missing_docs)]
+//! A [`Balancer`] is given the [`Event`]s of one node and returns [`Action`]s: which endpoint each
+//! request goes to, when it is retried, hedged, shed or failed. Its ordinary path is Join-Up-To(m).
+//! The crate is sans-I/O: it reads no clock, opens no socket and shares nothing with other nodes;
+//! the same events always give the same actions.
 
 mod action;
 mod admission;
--- a/crates/balancer/src/settings/mod.rs
+++ b/crates/balancer/src/settings.rs
@@ -3,17 +3,17 @@
 mod error;
 mod file;
 mod json;
+mod load_report_column;
 mod millis;
 mod model;
-mod report_column;
 mod schema;
 
 pub use error::{JsonError, SettingsError};
 pub use file::SettingsFile;
 pub use json::from_json;
+pub use load_report_column::LoadReportColumn;
 pub use millis::millis;
 pub use model::{
     CostWeights, Idempotency, Limits, LoadReportSource, ObjectiveWeights, RequestClass, Rules,
     Scope, Settings, Tenant,
 };
-pub use report_column::Column;
--- a/crates/balancer/src/settings/file.rs
+++ b/crates/balancer/src/settings/file.rs
@@ -3,9 +3,9 @@
 
 use super::error::SettingsError;
 use super::json::from_json;
+use super::load_report_column::LoadReportColumn;
 use super::millis::millis;
 use super::model::Settings;
-use super::report_column::Column;
 use super::schema::SettingsSchema;
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     /// The settings of its balancer.
     pub settings: Settings,
     /// The columns of a load report, in the order in which reports carry them.
-    pub load_report_columns: Vec<Column>,
+    pub load_report_columns: Vec<LoadReportColumn>,
     /// The names of the classes, in the order of [`Settings::classes`].
     pub class_names: Vec<String>,
     /// The names of the tenants, in the order of [`Settings::tenants`].
--- a/crates/balancer/src/settings/schema/load_report.rs
+++ b/crates/balancer/src/settings/schema/load_report.rs
@@ -1,14 +1,14 @@
 //! How endpoints report their load (`LoadReport`).
 
+use crate::settings::load_report_column::LoadReportColumn;
 use crate::settings::model::LoadReportSource;
-use crate::settings::report_column::Column;
 use serde::Deserialize;
 
 /// How endpoints report their load.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct LoadReportSchema {
-    pub columns: Vec<Column>,
+    pub columns: Vec<LoadReportColumn>,
     pub via: ViaSchema,
 }
 
--- a/crates/node/src/downstream/admission.rs
+++ b/crates/node/src/downstream/admission.rs
@@ -77,7 +77,7 @@
         read_deadline: Instant,
     ) -> Result<AdmittedRequest<'_>, Rejection> {
         let Some(lease) = self.budget.lease(head.body_length) else {
-            log_peer("memory budget exhausted: request shed");
+            log_peer("request shed: memory budget exhausted");
             return Err(self.shed());
         };
         let body = request_body::read(body, head.body_length, lease, read_deadline).await?;
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -193,7 +193,7 @@
     fn on_deadline(&mut self, id: RequestId) {
         if self.requests.respond(id, FinalResponse::TimedOut) {
             log_peer(format_args!(
-                "request {}: deadline exceeded without a final response",
+                "deadline exceeded: request {}: no final response",
                 id.0
             ));
             self.handle_event(Event::ClientDisconnected { id });
--- a/crates/node/src/driver/actions.rs
+++ b/crates/node/src/driver/actions.rs
@@ -97,7 +97,7 @@
             DiscoveryCommand::Unsubscribe
         };
         if self.discovery.try_send(command).is_err() {
-            log("discovery queue full: command dropped");
+            log("command to discovery dropped: queue full");
         }
     }
 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -44,7 +44,7 @@
 fn run() -> Result<(), NodeError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
-        .build();
-    let runtime = runtime.map_err(NodeError::Runtime)?;
+        .build()
+        .map_err(NodeError::Runtime)?;
     LocalSet::new().block_on(&runtime, startup::run())
 }
--- a/crates/node/src/upstream/mod.rs
+++ b/crates/node/src/upstream.rs
@@ -11,7 +11,7 @@
 use crate::memory_budget::Budget;
 use crate::message::ListedEndpoint;
 use load_report::LoadReportParser;
-use ottertiller_balancer::settings::Column;
+use ottertiller_balancer::settings::LoadReportColumn;
 use ottertiller_balancer::{ListKind, LoadReportSource};
 use pool::Pool;
 use std::rc::Rc;
@@ -24,7 +24,7 @@
     /// How endpoints report their load.
     pub load_report_source: LoadReportSource,
     /// The columns of load reports that are taken in.
-    pub load_report_columns: Vec<Column>,
+    pub load_report_columns: Vec<LoadReportColumn>,
 }
 
 /// Sends attempts and health checks to endpoints.
--- a/crates/node/src/upstream/load_report.rs
+++ b/crates/node/src/upstream/load_report.rs
@@ -3,7 +3,7 @@
 
 use crate::logging::log_peer;
 use hyper::header::{HeaderMap, HeaderName};
-use ottertiller_balancer::settings::Column;
+use ottertiller_balancer::settings::LoadReportColumn;
 use ottertiller_balancer::{LoadReport, LoadReportSource};
 
 /// Carries the load report of a response.
@@ -12,12 +12,12 @@
 /// Parses load reports as the settings describe them.
 pub(super) struct LoadReportParser {
     source: LoadReportSource,
-    columns: Vec<Column>,
+    columns: Vec<LoadReportColumn>,
 }
 
 impl LoadReportParser {
     /// Returns a parser that takes in these columns and leaves out all others.
-    pub(super) fn new(source: LoadReportSource, columns: Vec<Column>) -> Self {
+    pub(super) fn new(source: LoadReportSource, columns: Vec<LoadReportColumn>) -> Self {
         LoadReportParser { source, columns }
     }
 
@@ -49,7 +49,7 @@
         let mut report = LoadReport::default();
         for field in text.trim().split(',') {
             let (name, value) = field.split_once('=')?;
-            let column = Column::from_report_name(name.trim());
+            let column = LoadReportColumn::from_report_name(name.trim());
             let value = parse_value(value)?;
             if self.columns.contains(&column) {
                 column.set(&mut report, value);
--- a/crates/node/src/upstream/load_report/tests.rs
+++ b/crates/node/src/upstream/load_report/tests.rs
@@ -2,7 +2,10 @@
 use hyper::header::HeaderValue;
 
 fn parser(source: LoadReportSource) -> LoadReportParser {
-    LoadReportParser::new(source, vec![Column::Concurrent, Column::MeanMs])
+    LoadReportParser::new(
+        source,
+        vec![LoadReportColumn::InFlight, LoadReportColumn::LatencyMs],
+    )
 }
 
 #[test]
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -30,8 +30,7 @@
         /// The number in the batch's header.
         batch: u32,
         /// What is wrong with it.
-        #[source]
-        cause: BatchError,
+        source: BatchError,
     },
     /// A record of a batch breaks the protocol.
     #[error("batch {batch}: record {record}")]
@@ -41,8 +40,7 @@
         /// The index of the record in its batch, from 0.
         record: usize,
         /// What is wrong with it.
-        #[source]
-        cause: RecordError,
+        source: RecordError,
     },
 }
 
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -25,10 +25,10 @@
         for (index, record) in batch.records().enumerate() {
             let handled =
                 record.and_then(|record| self.handle_record(batch.clock, record, &mut reply));
-            handled.map_err(|cause| AdapterError::Record {
+            handled.map_err(|source| AdapterError::Record {
                 batch: batch.number,
                 record: index,
-                cause,
+                source,
             })?;
         }
         Ok(reply.into_frame(batch.number))
--- a/crates/simulator-adapter/src/simulated_node.rs
+++ b/crates/simulator-adapter/src/simulated_node.rs
@@ -2,7 +2,7 @@
 
 use crate::error::RecordError;
 use crate::wire::RawLoadReport;
-use ottertiller_balancer::settings::{Column, SettingsFile};
+use ottertiller_balancer::settings::{LoadReportColumn, SettingsFile};
 use ottertiller_balancer::{Action, Balancer, Event};
 use std::any::Any;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -13,7 +13,7 @@
     /// What decides for the node.
     balancer: Balancer,
     /// What the values of a load report mean, in their order.
-    load_report_columns: Vec<Column>,
+    load_report_columns: Vec<LoadReportColumn>,
 }
 
 /// A panic in the decisions of a node.
--- a/crates/simulator-adapter/src/wire/batch.rs
+++ b/crates/simulator-adapter/src/wire/batch.rs
@@ -70,10 +70,10 @@
     }
 
     /// Names the batch in an error.
-    fn error(&self, cause: BatchError) -> AdapterError {
+    fn error(&self, source: BatchError) -> AdapterError {
         AdapterError::Batch {
             batch: self.number,
-            cause,
+            source,
         }
     }
 }
--- a/crates/simulator-adapter/src/wire/record.rs
+++ b/crates/simulator-adapter/src/wire/record.rs
@@ -4,7 +4,7 @@
 use super::fields::FieldReader;
 use super::layout::ENTRY_SIZE;
 use crate::error::{FieldError, RecordError};
-use ottertiller_balancer::settings::{Column, millis};
+use ottertiller_balancer::settings::{LoadReportColumn, millis};
 use ottertiller_balancer::{
     AttemptEnd, EndpointEntry, Event, HealthCheckEnd, LoadReport, NewRequest, RequestId,
 };
@@ -64,7 +64,7 @@
 
 impl RawLoadReport {
     /// Returns the report with the values in the fields that the node's columns name.
-    pub(crate) fn named(&self, columns: &[Column]) -> LoadReport {
+    pub(crate) fn named(&self, columns: &[LoadReportColumn]) -> LoadReport {
         let mut report = LoadReport::default();
         for (column, value) in columns.iter().zip(&self.values[..self.count]) {
             column.set(&mut report, *value);
@@ -141,8 +141,7 @@
 fn endpoint_list(fields: &mut FieldReader, tail: &[u8]) -> Result<Event, RecordError> {
     let kind = list_kind(fields.u8()?)?;
     fields.skip::<4>()?; // not needed for any decision
-    let entries = slice_of_tail("endpoint entries", fields, tail, ENTRY_SIZE)?;
-    let entries = entries
+    let entries = slice_of_tail("endpoint entries", fields, tail, ENTRY_SIZE)?
         .chunks_exact(ENTRY_SIZE)
         .map(endpoint_entry)
         .collect::<Result<_, _>>()?;
@@ -159,8 +158,8 @@
     let state = endpoint_state(fields.u8()?)?;
     let weight = fields.f32()?;
     // 0 stands for long ago.
-    let started = fields.f64()?;
-    let started = (started > 0.0).then(|| millis(started));
+    let started_ms = fields.f64()?;
+    let started = (started_ms > 0.0).then(|| millis(started_ms));
     Ok(EndpointEntry {
         id,
         zone,
--- a/crates/simulator-adapter/src/wire/tests.rs
+++ b/crates/simulator-adapter/src/wire/tests.rs
@@ -5,7 +5,7 @@
 use super::layout::{ACTION_SIZE, ENTRY_SIZE, EVENT_SIZE};
 use super::*;
 use crate::error::{AdapterError, ErrorChain, FieldError, RecordError};
-use ottertiller_balancer::settings::{Column, millis};
+use ottertiller_balancer::settings::{LoadReportColumn, millis};
 use ottertiller_balancer::{
     Action, AttemptEnd, EndpointEntry, EndpointId, EndpointState, Event, HealthCheckEnd, ListKind,
     LoadReport, NewRequest, Outcome, RequestId, Timer,
@@ -41,10 +41,10 @@
 fn read(frame: &[u8]) -> Result<Vec<Record>, AdapterError> {
     let batch = read_batch(&mut &frame[..])?.expect("a batch");
     let in_batch = |(index, record): (usize, Result<Record, _>)| {
-        record.map_err(|cause| AdapterError::Record {
+        record.map_err(|source| AdapterError::Record {
             batch: batch.number,
             record: index,
-            cause,
+            source,
         })
     };
     batch.records().enumerate().map(in_batch).collect()
@@ -197,7 +197,11 @@
         report: None,
     };
     assert_eq!(end, expected);
-    let report = raw.named(&[Column::Concurrent, Column::Unknown, Column::LoadShare]);
+    let report = raw.named(&[
+        LoadReportColumn::InFlight,
+        LoadReportColumn::Unknown,
+        LoadReportColumn::Utilisation,
+    ]);
     let expected = LoadReport {
         in_flight: Some(3.0),
         utilisation: Some(0.5),
--- a/crates/xtask/src/circles/import_graph.rs
+++ b/crates/xtask/src/circles/import_graph.rs
@@ -64,9 +64,11 @@
     fn circle_of(&self, members: &BTreeSet<&ModulePath>) -> Circle {
         let mut imports = Vec::new();
         for importer in members {
-            let inner = self.imports[*importer].iter();
-            let inner = inner.filter(|imported| members.contains(imported));
-            imports.extend(inner.map(|imported| ((*importer).clone(), imported.clone())));
+            let within_circle = self.imports[*importer]
+                .iter()
+                .filter(|imported| members.contains(imported))
+                .map(|imported| ((*importer).clone(), imported.clone()));
+            imports.extend(within_circle);
         }
         Circle {
             modules: members.len(),
@@ -82,11 +84,10 @@
     text: &str,
     modules: &BTreeSet<ModulePath>,
 ) -> BTreeSet<ModulePath> {
-    let paths = paths_in(text);
-    let paths = paths.iter().filter_map(|path| module.resolve(path));
-    let imported =
-        paths.filter_map(|path| path.with_parents().find(|parent| modules.contains(parent)));
-    imported
+    paths_in(text)
+        .iter()
+        .filter_map(|path| module.resolve(path))
+        .filter_map(|path| path.with_parents().find(|parent| modules.contains(parent)))
         .filter(|imported| !imported.is_within(module))
         .collect()
 }
--- a/crates/xtask/src/circles/imports.rs
+++ b/crates/xtask/src/circles/imports.rs
@@ -21,8 +21,8 @@
 /// Returns the paths of all `use` statements, one for each leaf of their braces, and the paths of
 /// expressions that begin with `crate` or `super`.
 pub(super) fn paths_in(source: &str) -> Vec<String> {
-    let code = COMMENT.replace_all(source, "");
-    let code = VISIBILITY.replace_all(&code, "");
+    let without_comments = COMMENT.replace_all(source, "");
+    let code = VISIBILITY.replace_all(&without_comments, "");
     let mut paths = Vec::new();
     for statement in USE_STATEMENT.captures_iter(&code) {
         flatten("", &statement[1], &mut paths);
--- a/crates/xtask/src/citations.rs
+++ b/crates/xtask/src/citations.rs
@@ -73,8 +73,8 @@
     let folder = Path::new(PAGES);
     let mut pages = Vec::new();
     for entry in fs::read_dir(folder).map_err(ReadError::at(folder))? {
-        let name = entry.map_err(ReadError::at(folder))?.file_name();
-        let name = name.to_string_lossy();
+        let file_name = entry.map_err(ReadError::at(folder))?.file_name();
+        let name = file_name.to_string_lossy();
         if name.ends_with(".md") {
             pages.push(format!("{PAGES}/{name}"));
         }
--- a/crates/xtask/src/citations/symbols.rs
+++ b/crates/xtask/src/citations/symbols.rs
@@ -72,8 +72,10 @@
     };
     let name = format!("{}::{}", program.name, test.path);
     let in_crate = |path: &String| {
-        let folder = path.strip_prefix("crates/")?;
-        let folder = folder.strip_suffix(&program.source)?.strip_suffix('/')?;
+        let folder = path
+            .strip_prefix("crates/")?
+            .strip_suffix(&program.source)?
+            .strip_suffix('/')?;
         Some(format!("{folder}::{name}"))
     };
     // The unit tests of all crates are in files of the same names.
@@ -96,7 +98,9 @@
 
 /// Returns the name of the innermost module of a file.
 fn module_name(path: &str) -> &str {
-    let path = path.strip_suffix(".rs").unwrap_or(path);
-    let path = path.strip_suffix("/mod").unwrap_or(path);
-    path.rsplit('/').next().unwrap_or(path)
+    let without_extension = path.strip_suffix(".rs").unwrap_or(path);
+    let module = without_extension
+        .strip_suffix("/mod")
+        .unwrap_or(without_extension);
+    module.rsplit('/').next().unwrap_or(module)
 }
--- a/crates/xtask/src/verdict.rs
+++ b/crates/xtask/src/verdict.rs
@@ -147,9 +147,11 @@
         &self,
         existing: &BTreeSet<String>,
     ) -> Result<BTreeSet<String>, VerdictFailure> {
-        let named = failure_lines(&self.output).into_iter();
-        let named = named.map(|test| test.full_name());
-        let failed: BTreeSet<String> = named.filter(|name| existing.contains(name)).collect();
+        let failed: BTreeSet<String> = failure_lines(&self.output)
+            .iter()
+            .map(Test::full_name)
+            .filter(|name| existing.contains(name))
+            .collect();
         let counted = count_failures(&self.output);
         if counted != failed.len() {
             return Err(VerdictFailure::Unnamed(counted));
@@ -161,10 +163,12 @@
 /// Requires that no two test programs have the same name.
 fn require_distinct_programs(listing: &str) -> Result<(), VerdictFailure> {
     let mut names = BTreeSet::new();
-    let programs = announced_programs(listing);
-    let mut programs = programs.iter().map(TestProgram::full_name);
-    match programs.find(|name| !names.insert(name.clone())) {
-        Some(twice) => Err(VerdictFailure::SameName(twice)),
+    let repeated = announced_programs(listing)
+        .iter()
+        .map(TestProgram::full_name)
+        .find(|name| !names.insert(name.clone()));
+    match repeated {
+        Some(name) => Err(VerdictFailure::SameName(name)),
         None => Ok(()),
     }
 }
