--- a/crates/xtask/src/citations/symbols.rs
+++ b/crates/xtask/src/citations/symbols.rs
@@ -1,6 +1,7 @@
 //! What can be cited: tests, functions and files.
 
 use super::citation::{CitedName, LastSegment};
+use crate::pattern::pattern;
 use crate::source_tree::SourceFile;
 use crate::test_output::Test;
 use regex::Regex;
@@ -8,8 +9,7 @@
 use std::sync::LazyLock;
 
 /// The declaration of a function.
-static FUNCTION: LazyLock<Regex> =
-    LazyLock::new(|| Regex::new(r"\bfn\s+(\w+)").expect("the pattern is well-formed"));
+static FUNCTION: LazyLock<Regex> = LazyLock::new(|| pattern(r"\bfn\s+(\w+)"));
 
 /// The tests, functions and files that exist.
 pub(super) struct Symbols {
--- a/crates/xtask/src/command_line.rs
+++ b/crates/xtask/src/command_line.rs
@@ -26,13 +26,13 @@
         /// The deploy file, whose files are named from the working directory
         deploy_file: PathBuf,
     },
-    /// Checks that no modules of a crate import one another in a circle
-    Circles {
+    /// Checks that no modules of a crate import one another in a cycle
+    Cycles {
         /// The folder of the crates
         #[arg(default_value = "crates")]
         folder: PathBuf,
     },
-    /// Checks that the tests and Rust files that docs/*.md cite in backticks exist
+    /// Checks that the tests, functions and Rust files that docs/*.md cite in backticks exist
     Citations {
         /// The file with what `cargo test -- --list` printed
         tests: PathBuf,
@@ -54,7 +54,7 @@
         match self {
             Check::Sources { .. } => "sources",
             Check::Decisions { .. } => "decisions",
-            Check::Circles { .. } => "circles",
+            Check::Cycles { .. } => "cycles",
             Check::Citations { .. } => "citations",
             Check::Verdict(_) => "verdict",
         }
--- a/crates/xtask/src/circles.rs
+++ b/crates/xtask/src/cycles.rs
@@ -1,4 +1,4 @@
-//! Circles of imports: no modules below a crate's `src` import one another in a circle. A module is
+//! Cycles of imports: no modules below a crate's `src` import one another in a cycle. A module is
 //! a file. Test files are left out, and so is what a module takes from the modules within it.
 
 mod import_graph;
@@ -16,32 +16,32 @@
 
 /// What is wrong with the imports of a crate.
 #[derive(Debug, Error)]
-pub(crate) enum CircleProblem {
+pub(crate) enum CycleProblem {
     /// The folder holds no crate, so that it is hardly the one that was meant.
     #[error("no crate in {}", .0.display())]
     NoCrates(PathBuf),
-    /// Modules import one another in a circle.
-    #[error("{}: {circle}", src.display())]
-    Circle {
+    /// Modules import one another in a cycle.
+    #[error("{}: {cycle}", src.display())]
+    Cycle {
         /// The folder of the crate's sources.
         src: PathBuf,
         /// The modules and their imports.
-        circle: Circle,
+        cycle: Cycle,
     },
 }
 
 /// Modules that can all be reached from one another, with the imports between them.
 #[derive(Debug)]
-pub(crate) struct Circle {
+pub(crate) struct Cycle {
     /// The number of modules.
     modules: usize,
     /// The imports between them, each with the importing module first.
     imports: Vec<(ModulePath, ModulePath)>,
 }
 
-impl fmt::Display for Circle {
+impl fmt::Display for Cycle {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "a circle of {} modules", self.modules)?;
+        write!(formatter, "a cycle of {} modules", self.modules)?;
         for (importer, imported) in &self.imports {
             write!(formatter, "\n  {importer} -> {imported}")?;
         }
@@ -49,20 +49,20 @@
     }
 }
 
-/// Returns the circles of the crates in a folder.
-pub(crate) fn check(crates: &Path) -> Result<Vec<CircleProblem>, ReadError> {
+/// Returns the cycles of the crates in a folder.
+pub(crate) fn check(crates: &Path) -> Result<Vec<CycleProblem>, ReadError> {
     let folders = source_folders(crates)?;
     if folders.is_empty() {
-        return Ok(vec![CircleProblem::NoCrates(crates.to_path_buf())]);
+        return Ok(vec![CycleProblem::NoCrates(crates.to_path_buf())]);
     }
     let mut problems = Vec::new();
     for src in folders {
         let files = rust_files(&src)?;
         let graph = ImportGraph::new(files.iter().filter(|file| !file.is_test_file()));
-        let circles = graph.circles().into_iter();
-        problems.extend(circles.map(|circle| CircleProblem::Circle {
+        let cycles = graph.cycles().into_iter();
+        problems.extend(cycles.map(|cycle| CycleProblem::Cycle {
             src: src.clone(),
-            circle,
+            cycle,
         }));
     }
     Ok(problems)
--- a/crates/xtask/src/circles/import_graph.rs
+++ b/crates/xtask/src/cycles/import_graph.rs
@@ -1,6 +1,6 @@
-//! Which modules import which, and the circles among them.
+//! Which modules import which, and the cycles among them.
 
-use super::Circle;
+use super::Cycle;
 use super::imports::paths_in;
 use super::module_path::ModulePath;
 use crate::source_tree::SourceFile;
@@ -27,25 +27,25 @@
         }
     }
 
-    /// Returns the circles, each once.
-    pub(super) fn circles(&self) -> Vec<Circle> {
+    /// Returns the cycles, each once.
+    pub(super) fn cycles(&self) -> Vec<Cycle> {
         let reachable: BTreeMap<&ModulePath, BTreeSet<&ModulePath>> = self
             .imports
             .keys()
             .map(|module| (module, self.reachable_from(module)))
             .collect();
-        let mut in_circles = BTreeSet::new();
-        let mut circles = Vec::new();
+        let mut in_cycles = BTreeSet::new();
+        let mut cycles = Vec::new();
         for (module, reached) in &reachable {
-            if !reached.contains(module) || in_circles.contains(module) {
+            if !reached.contains(module) || in_cycles.contains(module) {
                 continue;
             }
             let returns = |other: &&ModulePath| reachable[*other].contains(module);
             let members: BTreeSet<&ModulePath> = reached.iter().copied().filter(returns).collect();
-            in_circles.extend(members.iter().copied());
-            circles.push(self.circle_of(&members));
+            in_cycles.extend(members.iter().copied());
+            cycles.push(self.cycle_of(&members));
         }
-        circles
+        cycles
     }
 
     /// Returns the modules that can be reached from a module in one step or more.
@@ -60,17 +60,17 @@
         reached
     }
 
-    /// Returns the circle of these modules.
-    fn circle_of(&self, members: &BTreeSet<&ModulePath>) -> Circle {
+    /// Returns the cycle of these modules.
+    fn cycle_of(&self, members: &BTreeSet<&ModulePath>) -> Cycle {
         let mut imports = Vec::new();
         for importer in members {
-            let within_circle = self.imports[*importer]
+            let within_cycle = self.imports[*importer]
                 .iter()
                 .filter(|imported| members.contains(imported))
                 .map(|imported| ((*importer).clone(), imported.clone()));
-            imports.extend(within_circle);
+            imports.extend(within_cycle);
         }
-        Circle {
+        Cycle {
             modules: members.len(),
             imports,
         }
--- a/crates/xtask/src/circles/imports.rs
+++ b/crates/xtask/src/cycles/imports.rs
@@ -1,5 +1,6 @@
 //! The paths that a source takes from its own crate.
 
+use crate::pattern::pattern;
 use regex::Regex;
 use std::sync::LazyLock;
 
@@ -13,11 +14,6 @@
 static CRATE_PATH: LazyLock<Regex> =
     LazyLock::new(|| pattern(r"\b(?:crate|super)(?:\s*::\s*\w+)+"));
 
-/// Compiles a pattern of this module.
-fn pattern(text: &str) -> Regex {
-    Regex::new(text).expect("the pattern is well-formed")
-}
-
 /// Returns the paths of all `use` statements, one for each leaf of their braces, and the paths of
 /// expressions that begin with `crate` or `super`.
 pub(super) fn paths_in(source: &str) -> Vec<String> {
--- a/crates/xtask/src/decisions.rs
+++ b/crates/xtask/src/decisions.rs
@@ -2,6 +2,7 @@
 //! else. They are short, and read no clock, file, variable or socket, start no thread and print
 //! nothing.
 
+use crate::pattern::pattern;
 use crate::read_error::{ReadError, read_text};
 use crate::source_tree::non_blank_lines;
 use regex::Regex;
@@ -28,11 +29,6 @@
     )
 });
 
-/// Compiles a pattern of this module.
-fn pattern(text: &str) -> Regex {
-    Regex::new(text).expect("the pattern is well-formed")
-}
-
 /// A decision file that is not what it should be.
 #[derive(Debug, Error)]
 pub(crate) enum DecisionProblem {
--- a/crates/xtask/src/main.rs
+++ b/crates/xtask/src/main.rs
@@ -2,10 +2,11 @@
 //! with 1 if there are any. All are run from the root of the repository; `.ci/run` runs all of
 //! them.
 
-mod circles;
 mod citations;
 mod command_line;
+mod cycles;
 mod decisions;
+mod pattern;
 mod read_error;
 mod source_tree;
 mod sources;
@@ -37,7 +38,7 @@
     match check {
         Check::Sources { folder } => Ok(report(name, &sources::check(folder)?)),
         Check::Decisions { deploy_file } => Ok(report(name, &decisions::check(deploy_file)?)),
-        Check::Circles { folder } => Ok(report(name, &circles::check(folder)?)),
+        Check::Cycles { folder } => Ok(report(name, &cycles::check(folder)?)),
         Check::Citations { tests } => Ok(report(name, &citations::check(tests)?)),
         Check::Verdict(files) => {
             let verdict = files.read()?.judge();
--- a/crates/xtask/src/sources.rs
+++ b/crates/xtask/src/sources.rs
@@ -1,5 +1,6 @@
 //! The layout of the sources: tests stand in test files, and files are short.
 
+use crate::pattern::pattern;
 use crate::read_error::ReadError;
 use crate::source_tree::{SourceFile, rust_files};
 use regex::Regex;
@@ -11,9 +12,8 @@
 const MAX_LINES: usize = 400;
 
 /// The attribute of a test, such as `#[test]` or `#[tokio::test(start_paused = true)]`.
-static TEST_ATTRIBUTE: LazyLock<Regex> = LazyLock::new(|| {
-    Regex::new(r"(?m)^\s*#\[([a-z_]+::)*test\b").expect("the pattern is well-formed")
-});
+static TEST_ATTRIBUTE: LazyLock<Regex> =
+    LazyLock::new(|| pattern(r"(?m)^\s*#\[([a-z_]+::)*test\b"));
 
 /// A file that does not keep the layout.
 #[derive(Debug, Error)]
--- a/crates/xtask/src/verdict.rs
+++ b/crates/xtask/src/verdict.rs
@@ -102,12 +102,12 @@
     /// Decides whether the run passes.
     pub(crate) fn judge(&self) -> Verdict {
         let mut notes = Vec::new();
-        let failure = self.pass(&mut notes).err();
+        let failure = self.require_pass(&mut notes).err();
         Verdict { notes, failure }
     }
 
     /// Returns why the run does not pass. Lines to print are added to `notes`.
-    fn pass(&self, notes: &mut Vec<String>) -> Result<(), VerdictFailure> {
+    fn require_pass(&self, notes: &mut Vec<String>) -> Result<(), VerdictFailure> {
         require_distinct_programs(&self.listing)?;
         let tests = listed_tests(&self.listing);
         let existing: BTreeSet<String> = tests.iter().map(Test::full_name).collect();
--- a/crates/xtask/src/verdict/known_red.rs
+++ b/crates/xtask/src/verdict/known_red.rs
@@ -1,5 +1,6 @@
 //! `KNOWN-RED.txt`: the tests that may fail for a known fault, a line each.
 
+use crate::pattern::pattern;
 use regex::Regex;
 use std::collections::BTreeSet;
 use std::sync::LazyLock;
@@ -9,10 +10,8 @@
 const MAX_TESTS: usize = 3;
 
 /// `TEST | CAUSE | issue N`
-static LINE: LazyLock<Regex> = LazyLock::new(|| {
-    Regex::new(r"^([^|]*[^ |]) \| ([^|]*[^ |]) \| issue [0-9]+$")
-        .expect("the pattern is well-formed")
-});
+static LINE: LazyLock<Regex> =
+    LazyLock::new(|| pattern(r"^([^|]*[^ |]) \| ([^|]*[^ |]) \| issue [0-9]+$"));
 
 /// A test that may fail.
 #[derive(Debug)]
--- a/crates/xtask/tests/circles.rs
+++ b/crates/xtask/tests/cycles.rs
@@ -1,4 +1,4 @@
-//! The check for modules that import one another in a circle.
+//! The check for modules that import one another in a cycle.
 
 mod support;
 
@@ -12,11 +12,11 @@
     let paths: Vec<String> = paths.collect();
     let texts = files.iter().map(|(_, text)| *text);
     let files: Vec<(&str, &str)> = paths.iter().map(String::as_str).zip(texts).collect();
-    Folder::new(&files).xtask(&["circles"])
+    Folder::new(&files).xtask(&["cycles"])
 }
 
 #[test]
-fn two_modules_that_import_each_other_are_a_circle() {
+fn two_modules_that_import_each_other_are_a_cycle() {
     for import in [
         "use crate::b::B;",
         "use super::b;",
@@ -32,13 +32,13 @@
             ("b.rs", "use crate::a::A;\n"),
             ("c.rs", "pub struct C;\n"),
         ]);
-        let circle = "circles: crates/one/src: a circle of 2 modules\n  a -> b\n  b -> a\n";
-        assert!(!passed && printed == circle, "{import}: {printed}");
+        let cycle = "cycles: crates/one/src: a cycle of 2 modules\n  a -> b\n  b -> a\n";
+        assert!(!passed && printed == cycle, "{import}: {printed}");
     }
 }
 
 #[test]
-fn a_longer_circle_through_folders_is_found_once() {
+fn a_longer_cycle_through_folders_is_found_once() {
     let (passed, printed) = check(&[
         ("main.rs", "use a::A;\n"),
         ("a/mod.rs", "pub mod inner;\n"),
@@ -48,13 +48,13 @@
         ("c.rs", "use crate::a::inner::Inner;\nuse crate::d::D;\n"),
         ("d.rs", "pub struct D;\n"),
     ]);
-    let circle = "circles: crates/one/src: a circle of 3 modules\n  \
+    let cycle = "cycles: crates/one/src: a cycle of 3 modules\n  \
                   a::inner -> b\n  b -> c\n  c -> a::inner\n";
-    assert!(!passed && printed == circle, "{printed}");
+    assert!(!passed && printed == cycle, "{printed}");
 }
 
 #[test]
-fn each_circle_of_each_crate_is_found() {
+fn each_cycle_of_each_crate_is_found() {
     let pair = |folder: &str| {
         let path = |name: &str| format!("crates/{folder}/{name}.rs");
         let import = |name: &str| format!("use super::{name}::X;\n");
@@ -65,15 +65,15 @@
         .iter()
         .map(|(p, t)| (p.as_str(), t.as_str()))
         .collect();
-    let (passed, printed) = Folder::new(&files).xtask(&["circles", "crates"]);
+    let (passed, printed) = Folder::new(&files).xtask(&["cycles", "crates"]);
     assert!(!passed);
-    assert_eq!(printed.matches("a circle of 2 modules").count(), 3);
+    assert_eq!(printed.matches("a cycle of 2 modules").count(), 3);
     assert!(printed.contains("  deep::a -> deep::b\n"), "{printed}");
-    assert!(printed.contains("crates/two/src: a circle"), "{printed}");
+    assert!(printed.contains("crates/two/src: a cycle"), "{printed}");
 }
 
 #[test]
-fn imports_without_a_circle_pass() {
+fn imports_without_a_cycle_pass() {
     let (passed, printed) = check(&[
         ("lib.rs", "mod a;\npub use a::A;\nuse crate::b::B;\n"),
         // A parent takes from its own modules, and they from it.
@@ -96,11 +96,11 @@
 #[test]
 fn a_folder_without_crates_fails() {
     let folder = Folder::new(&[("crates/one/lib.rs", "\n")]);
-    let (passed, printed) = folder.xtask(&["circles"]);
+    let (passed, printed) = folder.xtask(&["cycles"]);
     assert!(
         !passed && printed.contains("no crate in crates"),
         "{printed}"
     );
-    let (passed, printed) = folder.xtask(&["circles", "gone"]);
+    let (passed, printed) = folder.xtask(&["cycles", "gone"]);
     assert!(!passed && printed.contains("cannot read gone"), "{printed}");
 }
