--- a/crates/balancer-simulation/src/fleet.rs
+++ b/crates/balancer-simulation/src/fleet.rs
@@ -10,6 +10,7 @@
 mod schedule;
 
 use crate::fixtures::{entry, started_entry};
+use crate::virtual_time::START;
 use action_digest::ActionDigest;
 pub use action_digest::RecordedActions;
 pub use endpoint::SimulatedEndpoint;
@@ -22,8 +23,6 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// The virtual time at which a simulation starts.
-const START: Duration = Duration::from_secs(100);
 /// The time that a node's call for the endpoint list takes.
 const LIST_DELAY: Duration = Duration::from_millis(20);
 /// The time that a health check takes.
--- a/crates/balancer-simulation/src/fleet/action_digest.rs
+++ b/crates/balancer-simulation/src/fleet/action_digest.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// Reckons a digest as actions are added.
+/// Computes a digest as actions are added.
 #[derive(Default)]
 pub(super) struct ActionDigest {
     digest: Sha256,
--- a/crates/balancer-simulation/src/fleet/faults.rs
+++ b/crates/balancer-simulation/src/fleet/faults.rs
@@ -17,11 +17,11 @@
 const LIST_FAILURE_SHARE: f64 = 0.3;
 /// The fraction of health checks that time out.
 const HEALTH_CHECK_TIMEOUT_SHARE: f64 = 0.05;
-/// The endpoints whose number has this rest when divided by [`FAULT_PERIOD`] return errors.
-const FAILING_REST: u64 = 3;
-/// The endpoints whose number has this rest when divided by [`FAULT_PERIOD`] leave requests without
-/// a response.
-const SILENT_REST: u64 = 7;
+/// The endpoints whose number has this remainder when divided by [`FAULT_PERIOD`] return errors.
+const FAILING_REMAINDER: u64 = 3;
+/// The endpoints whose number has this remainder when divided by [`FAULT_PERIOD`] leave requests
+/// without a response.
+const SILENT_REMAINDER: u64 = 7;
 const FAULT_PERIOD: u64 = 9;
 /// A time longer than any deadline.
 const NEVER: Duration = Duration::from_secs(60);
@@ -78,8 +78,8 @@
         let soon = Duration::from_secs_f64(0.001 + self.draw_uniform() / 200.0);
         let chance = self.draw_uniform();
         let (after, outcome) = match to.0 % FAULT_PERIOD {
-            FAILING_REST if chance < 0.6 => (soon, Outcome::Error),
-            SILENT_REST if chance < 0.5 => (NEVER, Outcome::Reset),
+            FAILING_REMAINDER if chance < 0.6 => (soon, Outcome::Error),
+            SILENT_REMAINDER if chance < 0.5 => (NEVER, Outcome::Reset),
             _ if chance < 0.01 => (soon, Outcome::Reset),
             _ if chance < 0.02 => (soon, Outcome::ConnectFailed),
             _ if chance < 0.05 => (soon, Outcome::Rejected),
--- a/crates/balancer-simulation/src/fleet/nodes.rs
+++ b/crates/balancer-simulation/src/fleet/nodes.rs
@@ -3,6 +3,7 @@
 use super::attempts::Attempt;
 use super::schedule::{Due, ScheduledAttemptEnd};
 use super::{FleetSimulation, HEALTH_CHECK_DELAY, LIST_DELAY};
+use crate::virtual_time::SHORTEST_TIMER;
 use ottertiller_balancer::{
     Action, Balancer, EndpointEntry, Event, ListKind, NewRequest, Outcome, RequestId, Settings,
 };
@@ -14,9 +15,6 @@
 const BUSY_NODE_INTERVAL: u32 = 10;
 const BUSY_NODE_WEIGHT: f64 = 4.0;
 
-/// The shortest time after which a timer fires. A timer never fires in the round that sets it.
-const SHORTEST_TIMER: Duration = Duration::from_nanos(1);
-
 pub(super) struct SimulatedNode {
     pub(super) balancer: Balancer,
     /// How often it was restarted. What was scheduled in an earlier run is void.
--- a/crates/balancer-simulation/src/lib.rs
+++ b/crates/balancer-simulation/src/lib.rs
@@ -5,3 +5,4 @@
 pub mod fixtures;
 pub mod fleet;
 pub mod node;
+mod virtual_time;
--- a/crates/balancer-simulation/src/node.rs
+++ b/crates/balancer-simulation/src/node.rs
@@ -7,6 +7,7 @@
 mod requests;
 
 use crate::fixtures::entry;
+use crate::virtual_time::{SHORTEST_TIMER, START};
 use endpoint_list::ListedEndpoint;
 use health_checks::PendingHealthCheck;
 use ottertiller_balancer::{
@@ -17,12 +18,6 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The virtual time at which a simulation starts.
-const START: Duration = Duration::from_secs(100);
-
-/// The shortest time after which a timer fires. A timer never fires in the round that sets it.
-const SHORTEST_TIMER: Duration = Duration::from_nanos(1);
-
 /// A simulation of a single node. Panics when the node breaks an invariant.
 pub struct NodeSimulation {
     /// The virtual time.
--- a/crates/balancer/tests/decisions/retry.rs
+++ b/crates/balancer/tests/decisions/retry.rs
@@ -15,7 +15,7 @@
     assert_ne!(endpoints_attempted(&again), endpoints_attempted(&actions));
 }
 
-/// The budget is two fifths of the requests, and a burst of ten.
+/// The budget is two fifths of the requests and a burst; twice the most tokens are allowed for it.
 #[test]
 fn retries_stay_within_their_budget() {
     const REQUESTS: usize = 500;
