--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -15,20 +15,22 @@
 /// Loads from this many requests on are treated alike.
 const LOAD_LEVELS: usize = 64;
 /// The share of attempts in time from which a level is open.
-const OPEN_ABOVE: f64 = 0.75;
-/// The first load level that is closed at the start.
-const INITIALLY_OPEN: usize = 2;
+const OPEN_FROM: f64 = 0.75;
+/// The number of load levels, from 0 on, that are open at the start.
+const INITIALLY_OPEN_LEVELS: usize = 2;
 /// The share of attempts in time that is assumed at the start of the levels that are closed.
 const INITIAL_CLOSED_SHARE: f64 = 0.25;
-/// What each attempt in time adds to the admitted share, which is steady at seven in eight in time.
-const ADMITTED_SHARE_STEP: f64 = SMOOTHING * 2.0 / 7.0;
 /// The highest admitted share: beyond 1 it is a reserve for attempts that are late by chance.
 const MAX_ADMITTED_SHARE: f64 = 2.0;
+/// What each attempt in time adds to the admitted share. At its maximum the share is steady with
+/// seven of eight attempts in time, and at 1, where requests begin to be rejected, with seven of
+/// nine.
+const ADMITTED_SHARE_STEP: f64 = SMOOTHING * MAX_ADMITTED_SHARE / 7.0;
 /// The lowest admitted share: an overload clears only when nearly nothing is sent.
 const MIN_ADMITTED_SHARE: f64 = SMOOTHING * SMOOTHING;
-/// The share of requests that may probe an endpoint without attempts in flight in any case: nothing
-/// else would tell that an overload has ended.
-const PROBE_SHARE: f64 = SMOOTHING / 2.0;
+/// The share of requests that an endpoint without attempts in flight always admits: nothing else
+/// would tell that an overload has ended.
+const ALWAYS_ADMITTED_SHARE: f64 = SMOOTHING / 2.0;
 /// The share of busy load reports below which requests are sent that look as if they could not
 /// finish in time: declared work is not exact.
 const MOSTLY_IDLE: f64 = 0.5;
@@ -70,7 +72,7 @@
     /// Returns a state that admits everything until attempts turn out late.
     pub(crate) fn new(settings: &Settings) -> Self {
         let mut in_time = [INITIAL_CLOSED_SHARE; LOAD_LEVELS];
-        in_time[..INITIALLY_OPEN].fill(OPEN_ABOVE);
+        in_time[..INITIALLY_OPEN_LEVELS].fill(OPEN_FROM);
         Admission {
             node_count: f64::from(settings.node_count.max(1)),
             in_time,
@@ -85,13 +87,14 @@
         loads: &LoadSnapshot,
         request: &AdmissionRequest,
     ) -> bool {
-        let is_probe = endpoint.in_flight == 0 && request.draw < PROBE_SHARE;
-        is_probe || self.is_open(endpoint, loads) && self.admits_request(endpoint, loads, request)
+        let is_always_admitted = endpoint.in_flight == 0 && request.draw < ALWAYS_ADMITTED_SHARE;
+        is_always_admitted
+            || self.is_open(endpoint, loads) && self.admits_request(endpoint, loads, request)
     }
 
     fn is_open(&self, endpoint: &Endpoint, loads: &LoadSnapshot) -> bool {
         let level = load_level(loads.estimate(endpoint));
-        level == 0 || self.in_time[level] >= OPEN_ABOVE
+        level == 0 || self.in_time[level] >= OPEN_FROM
     }
 
     /// Returns whether an endpoint at an open level admits this request. One that reports to be
--- a/crates/balancer/src/balancer/feedback.rs
+++ b/crates/balancer/src/balancer/feedback.rs
@@ -5,6 +5,7 @@
 use crate::health::observation::{ClassContext, Observation};
 use crate::health::outlier_ejection;
 use crate::requests::Attempt;
+use crate::routing::subset::NEIGHBORHOOD;
 use crate::{Action, AttemptEnd, EndpointId, HealthCheckEnd, LoadReport, Outcome, RequestId};
 
 impl Balancer {
@@ -91,7 +92,7 @@
     }
 
     fn record_health(&mut self, id: EndpointId, signal: HealthSignal) {
-        let nearby = 2 * self.subset_size();
+        let nearby = NEIGHBORHOOD * self.subset_size();
         let Some(endpoint) = self.endpoints.get_mut(id) else {
             return;
         };
--- a/crates/balancer/src/endpoint.rs
+++ b/crates/balancer/src/endpoint.rs
@@ -32,6 +32,7 @@
     /// Whether it accepts requests.
     pub state: EndpointState,
     /// Its capacity, in proportion to the weights of other endpoints.
+    /// No decision uses it.
     pub weight: f32,
     /// When it last started, on the clock of the host's events; `None` if long ago.
     pub started: Option<Duration>,
--- a/crates/balancer/src/endpoint_polling.rs
+++ b/crates/balancer/src/endpoint_polling.rs
@@ -1,4 +1,4 @@
-//! When the endpoint list is polled, where the site does not push it (settings key `RegistryMode:
+//! When the endpoint list is polled, where discovery does not push it (settings key `RegistryMode:
 //! ask`).
 
 use crate::Settings;
--- a/crates/balancer/src/endpoints/ring.rs
+++ b/crates/balancer/src/endpoints/ring.rs
@@ -1,6 +1,6 @@
 //! The ring of ready endpoints. Each node uses the next ones from a place of its own, and the
-//! places are evenly spaced, so that every endpoint has as many nodes (after deterministic
-//! subsetting, Google SRE book, ch. 20).
+//! places are evenly spaced, so that all endpoints have about equally many nodes (after
+//! deterministic subsetting, Google SRE book, ch. 20).
 
 use crate::{EndpointId, Settings};
 
--- a/crates/balancer/src/endpoints/send_count.rs
+++ b/crates/balancer/src/endpoints/send_count.rs
@@ -34,8 +34,8 @@
         self.since_idle += 1;
     }
 
-    /// Resets the count to the `in_flight` own attempts, other than which the endpoint has shown
-    /// idle. Returns whether the count fell.
+    /// Resets the count after an idle signal. The `in_flight` own attempts may have arrived after
+    /// it, and stay counted. Returns whether the count fell.
     pub(crate) fn reset(&mut self, in_flight: u32, now: Duration) -> bool {
         self.idle_at = Some(now);
         let falls = self.since_idle > in_flight;
--- a/crates/balancer/src/estimates/declared_work.rs
+++ b/crates/balancer/src/estimates/declared_work.rs
@@ -1,6 +1,6 @@
 //! The work that requests declare in their cost hints.
 
-use crate::numeric::{SMOOTHING, Seconds};
+use crate::numeric::{SLOW_SMOOTHING, Seconds};
 use std::time::Duration;
 
 /// The mean of the work that requests declare.
@@ -25,7 +25,7 @@
         let weight = if self.mean == Seconds::ZERO {
             1.0
         } else {
-            SMOOTHING / 8.0
+            SLOW_SMOOTHING
         };
         self.mean.smooth(work, weight);
         work / self.mean
--- a/crates/balancer/src/estimates/load_snapshot.rs
+++ b/crates/balancer/src/estimates/load_snapshot.rs
@@ -11,6 +11,11 @@
 /// An endpoint with fewer requests in flight than this is idle.
 const IDLE_BELOW: f64 = 0.5;
 
+/// The least success rate that own attempts in flight are divided by.
+const MIN_SUCCESS_RATE: f64 = SMOOTHING;
+/// The least share of busy load reports that decisions compute with.
+pub(crate) const MIN_BUSY_SHARE: f64 = SMOOTHING;
+
 /// Returns whether a reported load is that of an idle endpoint.
 pub(crate) fn is_idle(load: f64) -> bool {
     load < IDLE_BELOW
@@ -54,7 +59,7 @@
         let in_flight = f64::from(endpoint.in_flight);
         match self.reported(endpoint) {
             Some(load) => load.max(in_flight),
-            None => in_flight / (1.0 - endpoint.health.failure_rate()).max(SMOOTHING),
+            None => in_flight / (1.0 - endpoint.health.failure_rate()).max(MIN_SUCCESS_RATE),
         }
     }
 }
--- a/crates/balancer/src/health/active_check.rs
+++ b/crates/balancer/src/health/active_check.rs
@@ -2,7 +2,8 @@
 //! `Permissions.Probes`): which requests are worth them, and how long a request is queued for them.
 
 use crate::endpoints::EndpointSet;
-use crate::numeric::{Random, SMOOTHING, Seconds};
+use crate::estimates::load_snapshot::MIN_BUSY_SHARE;
+use crate::numeric::{Random, Seconds};
 use crate::requests::PendingRequest;
 use crate::{Action, EndpointId, Settings};
 use std::time::Duration;
@@ -52,7 +53,7 @@
         mean_work: Seconds,
         now: Duration,
     ) -> bool {
-        let busy = busy_share.max(SMOOTHING);
+        let busy = busy_share.max(MIN_BUSY_SHARE);
         let work = mean_work * request.relative_work;
         let time_left = Seconds::from(request.deadline.saturating_sub(now)).max(MIN_TIME_LEFT);
         let late_if_busy = (work / time_left).min(1.0);
--- a/crates/balancer/src/numeric.rs
+++ b/crates/balancer/src/numeric.rs
@@ -8,7 +8,7 @@
 mod token_bucket;
 
 pub(crate) use decaying_rate::DecayingRate;
-pub(crate) use moving_average::{SMOOTHING, smooth};
+pub(crate) use moving_average::{SLOW_SMOOTHING, SMOOTHING, smooth};
 pub use random::Random;
 pub(crate) use seconds::Seconds;
 pub(crate) use token_bucket::TokenBucket;
--- a/crates/balancer/src/numeric/decaying_rate.rs
+++ b/crates/balancer/src/numeric/decaying_rate.rs
@@ -4,6 +4,9 @@
 use super::seconds::Seconds;
 use std::time::Duration;
 
+/// The least part of the window that a rate is scaled up from.
+const MIN_OBSERVED_PART: f64 = SMOOTHING;
+
 /// The amount per second of something, forgotten exponentially over a window.
 pub(crate) struct DecayingRate {
     window: Seconds,
@@ -36,6 +39,6 @@
     /// Returns the rate of what began at `start`, of which the window may have seen only a part.
     pub(crate) fn per_second_since(&self, start: Duration, now: Duration) -> f64 {
         let windows = Seconds::from(now - start) / self.window;
-        self.per_second(now) / (1.0 - (-windows).exp()).max(SMOOTHING)
+        self.per_second(now) / (1.0 - (-windows).exp()).max(MIN_OBSERVED_PART)
     }
 }
--- a/crates/balancer/src/priority.rs
+++ b/crates/balancer/src/priority.rs
@@ -1,12 +1,14 @@
 //! How much a request counts when some must be rejected: its class's priority weight, less where
 //! its tenant is over its quota (settings keys `Credit`, `Projects`, `OverShareWorth`).
 
-use crate::numeric::{SMOOTHING, TokenBucket, smooth};
+use crate::numeric::{SLOW_SMOOTHING, SMOOTHING, TokenBucket, smooth};
 use crate::{Settings, Tenant};
 use std::time::Duration;
 
 /// The highest priority, as a multiple of the mean request's.
 const MAX_PRIORITY: f64 = 1e3;
+/// The least weight of the whole time that the worst-served class is compared with.
+const MIN_WHOLE_WEIGHT: f64 = SMOOTHING;
 /// The least mean weight that priorities are relative to.
 const MIN_MEAN_WEIGHT: f64 = 1e-9;
 
@@ -39,7 +41,7 @@
                 .collect(),
             over_quota_weight: settings.over_quota_weight,
             worst_class: settings.objective_weights.worst_class,
-            whole: settings.objective_weights.whole.max(SMOOTHING),
+            whole: settings.objective_weights.whole.max(MIN_WHOLE_WEIGHT),
             mean_weight: class_weights.iter().sum::<f64>() / class_weights.len().max(1) as f64,
             class_weights,
         }
@@ -56,7 +58,7 @@
             1.0
         };
         let weight = self.class_weights[class] * factor;
-        smooth(&mut self.mean_weight, weight, SMOOTHING / 8.0);
+        smooth(&mut self.mean_weight, weight, SLOW_SMOOTHING);
         let even = self.mean_weight * self.worst_class / self.whole;
         let relative = (weight + even) / (self.mean_weight + even).max(MIN_MEAN_WEIGHT);
         relative.clamp(0.0, MAX_PRIORITY)
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -17,6 +17,7 @@
     /// The index of its tenant in [`Settings::tenants`](crate::Settings::tenants).
     pub tenant: usize,
     /// A number for what the request concerns, such as a user or an object; 0 for nothing.
+    /// No decision uses it.
     pub key: u64,
     /// How long the client still waits for this request.
     pub remaining: Duration,
--- a/crates/balancer/src/retry/client_retry.rs
+++ b/crates/balancer/src/retry/client_retry.rs
@@ -9,8 +9,8 @@
 use crate::{NewRequest, Settings};
 use std::time::Duration;
 
-/// Waits that differ by less than this part of the longer count as equal.
-const TOLERANCE: u32 = 64;
+/// Waits count as equal if they differ by less than one part in this many.
+const TOLERANCE_DIVISOR: u32 = 64;
 
 /// What the requests of clients have shown about their retries.
 pub(crate) struct ClientRetries {
@@ -43,14 +43,15 @@
         }
         let first_try = self.first_try[class];
         let spent = deadline.saturating_sub(request.remaining);
-        let try_lasts_deadline = first_try + deadline / TOLERANCE >= deadline;
+        let try_lasts_deadline = first_try + deadline / TOLERANCE_DIVISOR >= deadline;
         if request.client_retry && try_lasts_deadline {
             let shortest = self
                 .shortest_backoff
                 .map_or(spent, |backoff| backoff.min(spent));
             self.shortest_backoff = Some(shortest);
         }
-        let cut_like_first_try = request.remaining.abs_diff(first_try) < first_try / TOLERANCE;
+        let cut_like_first_try =
+            request.remaining.abs_diff(first_try) < first_try / TOLERANCE_DIVISOR;
         if !cut_like_first_try {
             return spent;
         }
--- a/crates/balancer/src/retry/hedging.rs
+++ b/crates/balancer/src/retry/hedging.rs
@@ -1,5 +1,5 @@
 //! Hedged requests: a second attempt once the first has been silent for unusually long (Dean and
-//! Barroso, "The Tail at Scale"). Where the site allows one attempt at a time (settings key
+//! Barroso, "The Tail at Scale"). Where the settings allow one attempt at a time (settings key
 //! `ParallelTries`), the first is given up for the next instead.
 
 use crate::Settings;
@@ -16,6 +16,8 @@
 const MAX_PARALLEL: usize = 2;
 /// Work beyond this multiple of the mean does not lengthen the delay.
 const MAX_RELATIVE_WORK: f64 = 1e3;
+/// The time left with which a further attempt is planned, in quarters of the delay before it.
+const RETRY_TIME_IN_QUARTER_DELAYS: u32 = 5;
 
 /// How long to wait for an attempt, and when to start another one beside it.
 pub(crate) struct AttemptPlan {
@@ -27,7 +29,8 @@
 
 /// What allows an attempt to be followed by another one.
 pub(crate) struct RetryAllowance {
-    /// How long the request may be sent again once this attempt may have run.
+    /// For how long from now a retry would still be allowed, assuming that this attempt may have
+    /// run.
     pub retryable_for: Duration,
     /// Whether the retry budget has room for one more attempt.
     pub budget_allows: bool,
@@ -84,7 +87,8 @@
     ) -> AttemptPlan {
         let time_left = request.deadline - now;
         let delay = self.hedge_delay(request, median);
-        let has_time = allowance.retryable_for > delay && time_left > delay * 5 / 4;
+        let has_time =
+            allowance.retryable_for > delay && time_left > delay * RETRY_TIME_IN_QUARTER_DELAYS / 4;
         if !(has_time && allowance.budget_allows) {
             return AttemptPlan {
                 timeout: time_left,
--- a/crates/balancer/src/retry/idempotency.rs
+++ b/crates/balancer/src/retry/idempotency.rs
@@ -1,4 +1,4 @@
-//! Rule 2: a request that may have run is sent again only as its class allows (settings keys
+//! Idempotency: a request that may have run is sent again only as its class allows (settings keys
 //! `Idempotency`, `Group` and `Window`). Endpoints drop repeats of an idempotency key within a
 //! scope and a time window.
 
@@ -32,8 +32,8 @@
     }
 }
 
-/// Returns how long the request may still be sent again once the next attempt may have run, with
-/// `margin` to spare.
+/// Returns for how long from `now` a retry will still be allowed, assuming that the next attempt
+/// may have run, less `margin`.
 pub(crate) fn retryable_for(request: &PendingRequest, now: Duration, margin: Duration) -> Duration {
     match request.idempotency {
         Idempotency::Idempotent => Duration::MAX,
--- a/crates/balancer/src/routing/join_up_to.rs
+++ b/crates/balancer/src/routing/join_up_to.rs
@@ -6,13 +6,13 @@
 //! reached m.
 
 use crate::endpoints::Endpoint;
-use crate::estimates::load_snapshot::{LoadSnapshot, is_idle};
-use crate::numeric::{SMOOTHING, smooth};
+use crate::estimates::load_snapshot::{LoadSnapshot, MIN_BUSY_SHARE, is_idle};
+use crate::numeric::{SLOW_SMOOTHING, smooth};
 use crate::{EndpointId, Settings};
 use std::time::Duration;
 
 /// What remains of the counted sends and idle signals at each send: the last 500 or so decide on m.
-const MEMORY: f64 = 0.998;
+const RETAINED_PER_SEND: f64 = 0.998;
 
 /// The algorithm's state beside the counts.
 pub(crate) struct JoinUpTo {
@@ -79,17 +79,20 @@
     /// idle signal (its lambda / delta) and the share of reports that were not idle (its lambda).
     fn cap(&self) -> u32 {
         let sends_per_signal = self.sends / self.idle_signals;
-        let busy_share = self.busy_share.max(SMOOTHING);
-        let half = 0.5 + sends_per_signal * (1.0 - self.busy_share) / busy_share;
-        let best = ((half * half + 2.0 * sends_per_signal).sqrt() - half).ceil();
+        let busy_share = self.busy_share.max(MIN_BUSY_SHARE);
+        // The positive root of x^2 + 2 * half_linear_term * x = 2 * sends_per_signal.
+        let half_linear_term = 0.5 + sends_per_signal * (1.0 - self.busy_share) / busy_share;
+        let best = ((half_linear_term * half_linear_term + 2.0 * sends_per_signal).sqrt()
+            - half_linear_term)
+            .ceil();
         best.min(sends_per_signal.floor()).max(1.0) as u32
     }
 
     /// Records an attempt that was sent to this endpoint.
     pub(crate) fn record_send(&mut self, endpoint: &mut Endpoint) {
         endpoint.sends.increment();
-        self.sends = self.sends * MEMORY + 1.0;
-        self.idle_signals *= MEMORY;
+        self.sends = self.sends * RETAINED_PER_SEND + 1.0;
+        self.idle_signals *= RETAINED_PER_SEND;
     }
 
     /// Records a load report. An idle one that came with a served response or health check resets
@@ -102,7 +105,7 @@
         now: Duration,
     ) {
         let busy = if is_idle(load) { 0.0 } else { 1.0 };
-        smooth(&mut self.busy_share, busy, SMOOTHING / 8.0);
+        smooth(&mut self.busy_share, busy, SLOW_SMOOTHING);
         if !(is_idle(load) && served) {
             return;
         }
--- a/crates/balancer/src/routing/slow_start.rs
+++ b/crates/balancer/src/routing/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start, rule 4: an endpoint that has just started is sent no more than its present capacity
+//! Slow start: an endpoint that has just started is sent no more than its present capacity
 //! allows (settings keys `ColdFrom`, `RampTime`, `OverloadFactor` and `TipAfter`).
 //!
 //! While it starts, an endpoint is sent one request for each permit. The responses of a warm
@@ -10,6 +10,7 @@
 use crate::estimates::EndpointShare;
 use crate::numeric::Random;
 use crate::routing::starting_capacity::StartingCapacity;
+use crate::routing::subset::NEIGHBORHOOD;
 use crate::settings::Rules;
 use crate::{EndpointId, Settings};
 use std::time::Duration;
@@ -83,7 +84,7 @@
     ) {
         let starting: Vec<EndpointId> = endpoints
             .ring()
-            .take(2 * subset_size)
+            .take(NEIGHBORHOOD * subset_size)
             .filter(|endpoint| !self.capacity.is_full(endpoint, now))
             .map(|endpoint| endpoint.entry.id)
             .collect();
--- a/crates/balancer/src/routing/start_time.rs
+++ b/crates/balancer/src/routing/start_time.rs
@@ -25,9 +25,9 @@
 }
 
 impl StartTimes {
-    /// Returns bounds that allow as long a delay as rule 4 forgives if there was none, but a clock
-    /// that was stepped: the endpoint then has the capacity of its start, and is sent what it could
-    /// do that much later.
+    /// Returns a resolver with the longest delay that is harmless to believe in. If there was no
+    /// delay and the clock was stepped, the endpoint has only its initial capacity and is sent what
+    /// it could do after the delay; this stays within the overload factor.
     pub(crate) fn new(rules: &Rules) -> Self {
         let forgiven = USABLE_OVERLOAD * rules.overload_factor / load_factor(rules) - 1.0;
         let growth_per_window = (1.0 - rules.initial_capacity).max(MIN_GROWTH);
--- a/crates/balancer/src/routing/starting_capacity.rs
+++ b/crates/balancer/src/routing/starting_capacity.rs
@@ -1,5 +1,5 @@
-//! The capacity of an endpoint after its start, as far as rule 4 makes it certain (settings keys
-//! `ColdFrom` and `RampTime`): it grows evenly from the initial share to the whole.
+//! The capacity of an endpoint after its start, as far as the settings make it certain (settings
+//! keys `ColdFrom` and `RampTime`): it grows evenly from the initial share to the whole.
 
 use crate::endpoints::Endpoint;
 use crate::numeric::Seconds;
--- a/crates/balancer/src/routing/subset.rs
+++ b/crates/balancer/src/routing/subset.rs
@@ -14,13 +14,17 @@
 const SIGHTINGS: f64 = 3.0;
 /// With health checks the node sees an endpoint twice as often.
 const SIGHTINGS_PER_SEND_WITH_CHECKS: f64 = 2.0;
-/// The fewest endpoints that own traffic is taken to keep in view, also on a quiet node.
+/// The fewest endpoints that own traffic is taken to keep in view, also on a quiet node. With
+/// health checks it is [`SIGHTINGS_PER_SEND_WITH_CHECKS`] times as many.
 const MIN_IN_VIEW: f64 = 6.0;
 /// Endpoints to choose from beyond those that hold a request each.
 const SPARE: f64 = 2.0;
 /// No more endpoints than this are compared for a request, to bound its cost.
 const MAX_SUBSET: usize = 64;
 
+/// The endpoints in and next to a subset, as a multiple of its size.
+pub(crate) const NEIGHBORHOOD: usize = 2;
+
 /// The size of a node's subset, and what bounds it.
 pub(crate) struct Subset {
     /// Connections that this node and all others may keep to each endpoint, for the price of
@@ -59,7 +63,8 @@
     }
 
     /// Returns how many of the ready endpoints to use: as many as are affordable and as own traffic
-    /// keeps in view, but one for every request at once (Little's law) and some to spare.
+    /// keeps in view, but no fewer than requests in flight on average (Little's law) and some to
+    /// spare.
     pub(crate) fn size(&self, ready: usize, mean_response_time: Seconds, now: Duration) -> usize {
         let rate = self.sent.per_second(now);
         let affordable = self.affordable_connections * ready as f64 / self.node_count;
--- a/crates/balancer/src/settings/model.rs
+++ b/crates/balancer/src/settings/model.rs
@@ -14,6 +14,7 @@
     /// This node's index among them, from 0.
     pub node_index: u32,
     /// The number of the zone that this node is in.
+    /// It is read from the settings, and no decision uses it.
     pub zone: u8,
     /// The request classes. Events name them by index; there is at least one.
     pub classes: Vec<RequestClass>,
@@ -57,6 +58,7 @@
     pub idempotency: Idempotency,
     /// Whether responses are streamed, so that
     /// [`Event::StreamStarted`](crate::Event::StreamStarted) arrives.
+    /// It is read from the settings, and no decision uses it.
     pub streamed: bool,
 }
 
@@ -93,6 +95,7 @@
     /// The requests per second within its quota, over all nodes.
     pub quota_per_s: f64,
     /// The fraction of the service within its quota.
+    /// It is read from the settings, and no decision uses it.
     pub quota_share: f64,
 }
 
@@ -134,9 +137,9 @@
     pub initial_capacity: f64,
     /// The time from an endpoint's start after which it has its whole capacity at the latest.
     pub slow_start_window: Duration,
-    /// The multiple of its present capacity beyond which a starting endpoint fails ...
+    /// The multiple of its present capacity beyond which a starting endpoint is overloaded.
     pub overload_factor: f64,
-    /// ... if it is sent more than that for this long.
+    /// How long a starting endpoint may be overloaded before it fails.
     pub overload_window: Duration,
     /// The longest time without a poll or a subscription, where the endpoint list is polled.
     pub poll_interval: Duration,
@@ -148,10 +151,13 @@
     /// The cost of one health check for each request.
     pub health_check: f64,
     /// The cost of one attempt to another zone for each request.
+    /// It is read from the settings, and no decision uses it.
     pub cross_zone: f64,
     /// The cost of wasting as much work as was asked for.
+    /// It is read from the settings, and no decision uses it.
     pub waste: f64,
     /// The cost of all requests failing after their latency objective.
+    /// It is read from the settings, and no decision uses it.
     pub late_failure: f64,
     /// The cost of a new connection for each request and 100 open connections to each endpoint.
     pub connections: f64,
@@ -163,10 +169,12 @@
     /// The service over the whole time.
     pub whole: f64,
     /// The service in the worst time window.
+    /// It is read from the settings, and no decision uses it.
     pub worst_window: f64,
     /// The service of the worst-served class.
     pub worst_class: f64,
     /// The service of the worst-served tenant within its quota.
+    /// It is read from the settings, and no decision uses it.
     pub worst_tenant: f64,
 }
 
--- a/crates/balancer/src/settings/schema.rs
+++ b/crates/balancer/src/settings/schema.rs
@@ -1,6 +1,6 @@
-//! The JSON of a settings file, in the words of the wire protocol, and what each part of it becomes
-//! in the [`Settings`]. Times are milliseconds; keys that are missing get the
-//! defaults given here.
+//! The JSON of a settings file, in the operators' words (`docs/glossary.md`), and what each part of
+//! it becomes in the [`Settings`]. Times are milliseconds; keys that are missing get the defaults
+//! given here.
 
 mod class;
 mod load_report;
