--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -72,7 +72,7 @@
     }
 
     /// Returns the keys whose values differ in a later configuration but cannot change while the
-    /// node runs. The seed is not among them, since it is new with each start.
+    /// node runs. The seed and the cached list are not among them: only a start reads them.
     pub(crate) fn changes_that_need_restart(&self, later: &Config) -> Vec<&'static str> {
         let keys = [
             ("name", self.name != later.name),
--- a/crates/node/src/config/capacity.rs
+++ b/crates/node/src/config/capacity.rs
@@ -4,11 +4,11 @@
 
 /// Descriptors for all but connections: standard streams, listener, runtime, discovery, failing
 /// connects.
-const RESERVED_SOCKETS: usize = 48;
+const RESERVED_DESCRIPTORS: usize = 48;
 /// One connection to a client and one to an endpoint.
 const MIN_CONNECTIONS: usize = 2;
 /// The smallest number of sockets that can be configured.
-pub(super) const MIN_SOCKETS: usize = RESERVED_SOCKETS + MIN_CONNECTIONS;
+pub(super) const MIN_SOCKETS: usize = RESERVED_DESCRIPTORS + MIN_CONNECTIONS;
 /// Memory for the program's code, tables and queues: several times what is measured.
 const RESERVED_BYTES: usize = 8 << 20;
 /// The most memory that a connection takes: hyper's buffers in both directions, the read-ahead, and
@@ -46,7 +46,7 @@
 /// discovery and endpoints, and half of the memory for bodies.
 fn connections(descriptors: usize, available_bytes: usize) -> usize {
     // The system may allow fewer descriptors than `MIN_SOCKETS`: then half of them are reserved.
-    let reserved = RESERVED_SOCKETS.min(descriptors / 2);
+    let reserved = RESERVED_DESCRIPTORS.min(descriptors / 2);
     let by_descriptors = descriptors - reserved;
     let by_memory = available_bytes / 2 / CONNECTION_BYTES;
     by_descriptors.min(by_memory).max(MIN_CONNECTIONS)
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -126,7 +126,7 @@
         };
         self.apply_list(list, ListSource::Cached).await;
         if self.version.is_known() {
-            self.readiness.set_after_first_call();
+            self.readiness.set_after_max_wait();
         }
     }
 
--- a/crates/node/src/discovery/backoff.rs
+++ b/crates/node/src/discovery/backoff.rs
@@ -41,8 +41,9 @@
 
     /// Returns the wait after a call that failed after `lasted`.
     ///
-    /// A call that lasted was a success first. Its watch may have ended in place of a change, so
-    /// that the next call follows at once.
+    /// A call that took longer than [`MAX_LONGEST_WAIT`], whether as a watch or as a time-out, is
+    /// followed at once: it cannot make calls frequent, and its watch may have ended in place of a
+    /// change.
     pub(super) fn next_wait(&mut self, lasted: Duration) -> Duration {
         if lasted > MAX_LONGEST_WAIT {
             self.reset();
--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -1,7 +1,7 @@
 //! HTTP calls to discovery: watching the endpoint list.
 
 use crate::discovery::error::DiscoveryError;
-use crate::discovery::framing::{ListFramer, WatchLine};
+use crate::discovery::framing::{ListFramer, WatchItem};
 use crate::discovery::list_deadline::ListDeadline;
 use crate::socket::{self, Socket};
 use bytes::Bytes;
@@ -58,9 +58,9 @@
             .map_err(|_| DiscoveryError::ConnectTimedOut)?
             .map_err(DiscoveryError::Connect)?;
         let (socket, _) = Socket::new(stream);
-        let (mut sender, driver) = http1::handshake(socket).await?;
+        let (mut sender, connection_task) = http1::handshake(socket).await?;
         let connection = Connection(spawn_local(async move {
-            let _ = driver.await; // an error shows in the response
+            let _ = connection_task.await; // an error shows in the response
         }));
         let request = Request::get(path).header(HOST, self.address.to_string());
         let response = sender
@@ -104,12 +104,12 @@
     /// Returns the text of the next list or delta, once it has arrived whole.
     pub(super) async fn next_list(&mut self) -> Result<Bytes, DiscoveryError> {
         loop {
-            match self.framer.next_line()? {
-                Some(WatchLine::List(list)) => {
+            match self.framer.next_item()? {
+                Some(WatchItem::List(list)) => {
                     self.deadline = ListDeadline::start();
                     return Ok(list);
                 }
-                Some(WatchLine::Heartbeat) => self.deadline = ListDeadline::start(),
+                Some(WatchItem::Heartbeat) => self.deadline = ListDeadline::start(),
                 None => {
                     let part = self
                         .deadline
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -1,12 +1,11 @@
 //! Parsing of endpoint lists, and the endpoints' numbers.
 
 use crate::message::ListedEndpoint;
-use fnv::FnvHasher;
+use crate::stable_hash::stable_hash;
 use ottertiller_balancer::settings::millis;
 use ottertiller_balancer::{EndpointEntry, EndpointId, EndpointState};
 use serde::Deserialize;
 use serde_json::Value;
-use std::hash::Hasher;
 use std::net::SocketAddr;
 
 /// The machine type of an endpoint whose type has no name in the settings.
@@ -154,14 +153,10 @@
     u8::try_from(position).ok()
 }
 
-/// Returns an endpoint's number: the 64-bit FNV-1a hash of its name.
-///
-/// It depends on the name alone, since it must be the same at every node and after every restart;
-/// nodes agree by it without a message between them. Never change it.
+/// Returns an endpoint's number. It depends on the name alone, since it must be the same at every
+/// node and after every restart.
 fn endpoint_id(name: &str) -> EndpointId {
-    let mut hasher = FnvHasher::default();
-    hasher.write(name.as_bytes());
-    EndpointId(hasher.finish())
+    EndpointId(stable_hash(name))
 }
 
 #[cfg(test)]
--- a/crates/node/src/discovery/framing.rs
+++ b/crates/node/src/discovery/framing.rs
@@ -8,14 +8,14 @@
 /// Added to the open brackets for a line that is no JSON, so that the list ends there.
 const MALFORMED_LINE: i64 = i64::MIN / 2;
 
-/// A list is longer than any that makes sense.
+/// A list is longer than any that is accepted.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a list without end")]
+#[error("endpoint list longer than {MAX_LIST_BYTES} bytes")]
 pub(super) struct ListTooLong;
 
 /// What a watch sends.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) enum WatchLine {
+pub(super) enum WatchItem {
     /// A complete list, or what was sent instead of one and can't be parsed.
     List(Bytes),
     /// An empty line: nothing has changed.
@@ -42,7 +42,7 @@
     }
 
     /// Returns the next list or heartbeat that has arrived whole; `None` until more data arrives.
-    pub(super) fn next_line(&mut self) -> Result<Option<WatchLine>, ListTooLong> {
+    pub(super) fn next_item(&mut self) -> Result<Option<WatchItem>, ListTooLong> {
         while let Some(line_end) = self.find_line_end() {
             if let Some(line) = self.take_line(line_end) {
                 return Ok(Some(line));
@@ -71,7 +71,7 @@
     }
 
     /// Goes on to the next line, and returns what has ended with this one.
-    fn take_line(&mut self, line_end: usize) -> Option<WatchLine> {
+    fn take_line(&mut self, line_end: usize) -> Option<WatchItem> {
         let line = &self.unread[self.line_start..line_end];
         let is_blank = line.trim_ascii().is_empty();
         let depth = bracket_depth(line);
@@ -84,7 +84,7 @@
         if is_blank {
             self.unread.advance(line_end);
             self.line_searched = 0;
-            return Some(WatchLine::Heartbeat);
+            return Some(WatchItem::Heartbeat);
         }
         self.line_start = line_end;
         self.line_searched = 0;
@@ -102,11 +102,11 @@
     }
 
     /// Splits off what has arrived up to `end` as a list.
-    fn split_list(&mut self, end: usize) -> WatchLine {
+    fn split_list(&mut self, end: usize) -> WatchItem {
         self.line_start = 0;
         self.line_searched = 0;
         self.open_brackets = 0;
-        WatchLine::List(self.unread.split_to(end).freeze())
+        WatchItem::List(self.unread.split_to(end).freeze())
     }
 }
 
--- a/crates/node/src/discovery/framing/tests.rs
+++ b/crates/node/src/discovery/framing/tests.rs
@@ -5,8 +5,8 @@
     let (mut framer, mut found) = (ListFramer::default(), Vec::new());
     for piece in text.as_bytes().chunks(size) {
         framer.push(piece);
-        while let Some(line) = framer.next_line().expect("not long") {
-            if let WatchLine::List(list) = line {
+        while let Some(line) = framer.next_item().expect("not long") {
+            if let WatchItem::List(list) = line {
                 found.push(String::from_utf8_lossy(list.trim_ascii()).into_owned());
             }
         }
@@ -58,7 +58,7 @@
     let piece = [b' '; 1 << 16];
     assert!((0..=MAX_LIST_BYTES >> 16).any(|_| {
         framer.push(&piece);
-        framer.next_line() == Err(ListTooLong)
+        framer.next_item() == Err(ListTooLong)
     }));
 }
 
@@ -68,8 +68,8 @@
     let heartbeats = |text: &str| {
         let mut framer = ListFramer::default();
         framer.push(text.as_bytes());
-        let lines = std::iter::from_fn(|| framer.next_line().expect("not long"));
-        lines.filter(|line| *line == WatchLine::Heartbeat).count()
+        let lines = std::iter::from_fn(|| framer.next_item().expect("not long"));
+        lines.filter(|line| *line == WatchItem::Heartbeat).count()
     };
     assert_eq!(heartbeats(&format!("\n{ONE}\n\r\n{INDENTED}\n\n")), 3);
     assert_eq!(heartbeats("{\n  \"index\": 4,\n"), 0);
--- a/crates/node/src/discovery/readiness.rs
+++ b/crates/node/src/discovery/readiness.rs
@@ -6,8 +6,8 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// A node that has a cached list is ready at the latest when its first call to discovery has taken
-/// so long.
+/// How long after its start a node with a cached list becomes ready, though discovery has sent no
+/// list.
 const MAX_WAIT_WITH_CACHED_LIST: Duration = Duration::from_secs(1);
 
 /// A flag that is false at the start, and never false again once it is set.
@@ -25,11 +25,11 @@
         self.0.set(true);
     }
 
-    /// Marks the node as ready once the first call has had its time.
+    /// Marks the node as ready after [`MAX_WAIT_WITH_CACHED_LIST`].
     ///
     /// The node has endpoints from a cached list, which may be old: the first call may still bring
     /// a newer one before clients come.
-    pub(super) fn set_after_first_call(&self) {
+    pub(super) fn set_after_max_wait(&self) {
         let flag = self.flag();
         spawn_local(async move {
             sleep(MAX_WAIT_WITH_CACHED_LIST).await;
--- a/crates/node/src/discovery/tests/node.rs
+++ b/crates/node/src/discovery/tests/node.rs
@@ -4,7 +4,7 @@
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::driver::{Driver, DriverChannels};
-use crate::memory_budget::Budget;
+use crate::memory_budget::MemoryBudget;
 use crate::startup::{discovery_options, driver_options, upstream_options};
 use crate::upstream::Upstream;
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
         let (messages, mut inbox) = mpsc::channel(64);
         let (commands, discovery_commands) = mpsc::channel(16);
         let (address_changes, addresses) = watch::channel(config.discovery_address);
-        let upstream = Upstream::start(clock, upstream_options(config), Budget::new(1 << 20));
+        let upstream = Upstream::start(clock, upstream_options(config), MemoryBudget::new(1 << 20));
         let options = driver_options(config);
         let channels = DriverChannels {
             messages: messages.clone(),
--- a/crates/node/src/downstream.rs
+++ b/crates/node/src/downstream.rs
@@ -29,11 +29,11 @@
 mod shutdown_phase;
 mod timeouts;
 
-pub(crate) use options::{DownstreamOptions, RequestClass};
+pub(crate) use options::{ClassOptions, DownstreamOptions};
 
 use crate::clock::Clock;
 use crate::logging::log;
-use crate::memory_budget::Budget;
+use crate::memory_budget::MemoryBudget;
 use crate::message::Message;
 use admission::Admission;
 use connection_registry::ConnectionRegistry;
@@ -63,7 +63,7 @@
     pub(crate) fn new(
         clock: Clock,
         options: DownstreamOptions,
-        budget: Budget,
+        budget: MemoryBudget,
         driver: mpsc::Sender<Message>,
         is_ready: Rc<Cell<bool>>,
     ) -> Self {
--- a/crates/node/src/downstream/admission.rs
+++ b/crates/node/src/downstream/admission.rs
@@ -9,7 +9,7 @@
 use super::shutdown_phase::ShutdownPhase;
 use crate::clock::Clock;
 use crate::logging::log_peer;
-use crate::memory_budget::Budget;
+use crate::memory_budget::MemoryBudget;
 use bytes::Bytes;
 use hyper::body::Incoming;
 use std::cell::Cell;
@@ -21,7 +21,7 @@
 pub(super) struct Admission {
     clock: Clock,
     /// The memory for the bodies of requests and responses.
-    budget: Budget,
+    budget: MemoryBudget,
     phase: Rc<Cell<ShutdownPhase>>,
     /// The Retry-After of shed requests; `None` for no such header.
     retry_after: Option<Duration>,
@@ -51,7 +51,7 @@
     /// `retry_after` as their Retry-After.
     pub(super) fn new(
         clock: Clock,
-        budget: Budget,
+        budget: MemoryBudget,
         phase: Rc<Cell<ShutdownPhase>>,
         retry_after: Option<Duration>,
     ) -> Self {
--- a/crates/node/src/downstream/driver_handle.rs
+++ b/crates/node/src/downstream/driver_handle.rs
@@ -70,7 +70,7 @@
         call_id: head.call_id,
         idempotency_key: head.idempotency_key,
         body: RefCell::new(Some(body)),
-        deadline: received_at + head.budget,
+        deadline: received_at + head.time_budget,
         idempotency_window: head.idempotency_window,
         first_sent_at: Cell::new(None),
     };
@@ -79,7 +79,7 @@
         class: head.class,
         tenant: head.tenant,
         key: head.key,
-        remaining: head.budget,
+        remaining: head.time_budget,
         cost_hint: head.cost,
         client_retry: head.is_client_retry,
     };
--- a/crates/node/src/downstream/graceful_shutdown.rs
+++ b/crates/node/src/downstream/graceful_shutdown.rs
@@ -3,6 +3,7 @@
 //!
 //! ```text
 //! Serving --shutdown signal--> Draining --0.55 s--> Shedding --no connection left--> end
+//!                                                           --time limit----------> end
 //! ```
 
 use super::connection_registry::ConnectionRegistry;
@@ -61,7 +62,7 @@
         // Fails only when the driver has ended.
         let _ = self.driver.send(Message::Shutdown).await;
         if !self.connections_end_within(FINAL_CLOSE_TIMEOUT).await {
-            log("client connections still open at the end of the drain");
+            log("drain incomplete: client connections still open");
         }
     }
 
--- a/crates/node/src/downstream/http_server.rs
+++ b/crates/node/src/downstream/http_server.rs
@@ -86,7 +86,8 @@
             () = connection.shutdown_requested() => {}
         }
         http.as_mut().graceful_shutdown();
-        let _ = http.await; // an error says no more than that the client disconnected
+        // An error means a disconnect or a malformed head, which hyper has handled.
+        let _ = http.await;
     }
 
     /// Handles one request, and returns the response that is written to the client.
--- a/crates/node/src/downstream/listener/tests.rs
+++ b/crates/node/src/downstream/listener/tests.rs
@@ -4,7 +4,7 @@
 use super::{Acceptor, HttpServer, Listener};
 use crate::clock::Clock;
 use crate::downstream::{Downstream, DownstreamOptions};
-use crate::memory_budget::Budget;
+use crate::memory_budget::MemoryBudget;
 use crate::socket::fault_injection::InjectedFaults;
 use rustix::io::Errno;
 use std::cell::Cell;
@@ -143,7 +143,7 @@
     };
     let (driver, _) = mpsc::channel(1);
     let is_ready = Rc::new(Cell::new(true));
-    let budget = Budget::new(BUDGET_BYTES);
+    let budget = MemoryBudget::new(BUDGET_BYTES);
     Downstream::new(Clock::start(), options, budget, driver, is_ready).server
 }
 
--- a/crates/node/src/downstream/options.rs
+++ b/crates/node/src/downstream/options.rs
@@ -9,7 +9,7 @@
     /// The greatest number of client connections.
     pub max_connections: usize,
     /// The classes of requests, in the order of their numbers.
-    pub classes: Vec<RequestClass>,
+    pub classes: Vec<ClassOptions>,
     /// The names of the tenants, in the order of their numbers; empty if requests name none.
     pub tenants: Vec<String>,
     /// The Retry-After of requests that are shed without asking the balancer; `None` for no such
@@ -30,7 +30,7 @@
 
 /// A class of requests.
 #[derive(Clone, Debug)]
-pub(crate) struct RequestClass {
+pub(crate) struct ClassOptions {
     /// The first segment of its paths.
     pub name: String,
     /// Whether a request may be repeated. This decides its method and headers.
--- a/crates/node/src/downstream/request_body.rs
+++ b/crates/node/src/downstream/request_body.rs
@@ -2,7 +2,7 @@
 
 use super::request_error::RequestError;
 use crate::limits::MAX_BODY_BYTES;
-use crate::memory_budget::Lease;
+use crate::memory_budget::MemoryLease;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Frame, Incoming};
@@ -25,7 +25,7 @@
 pub(super) async fn read(
     mut body: Incoming,
     length: usize,
-    lease: Lease,
+    lease: MemoryLease,
     deadline: Instant,
 ) -> Result<Bytes, RequestError> {
     if length == 0 {
--- a/crates/node/src/downstream/request_error/tests.rs
+++ b/crates/node/src/downstream/request_error/tests.rs
@@ -33,7 +33,7 @@
         (
             RequestError::InvalidBudget,
             400,
-            "no X-Budget-Ms that makes sense",
+            "no X-MemoryBudget-Ms that makes sense",
         ),
         (RequestError::UnknownTenant, 403, "unknown tenant"),
         (RequestError::ReadTimeout, 408, "too slow"),
--- a/crates/node/src/downstream/request_headers.rs
+++ b/crates/node/src/downstream/request_headers.rs
@@ -1,25 +1,20 @@
 //! The headers of requests that this node reads: their names, limits and values.
 
 use super::request_error::RequestError;
-use hyper::header::{HeaderMap, HeaderValue};
+use crate::header_names::{BUDGET_MS, CALL_ID, IDEMPOTENCY_KEY};
+use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use std::time::Duration;
 
-/// The id that the client gives to the request.
-const CALL_ID: &str = "x-call-id";
-/// How long the client waits from when it sends the request, in milliseconds.
-const BUDGET_MS: &str = "x-budget-ms";
-/// The key by which endpoints drop repeats of the request.
-const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// The name of the tenant.
-const CALLER: &str = "x-caller";
+const CALLER: HeaderName = HeaderName::from_static("x-caller");
 /// The expected work, in microseconds.
-const CALL_COST: &str = "x-call-cost";
+const CALL_COST: HeaderName = HeaderName::from_static("x-call-cost");
 /// Whether the client repeats an earlier request: 1 if so.
-const CLIENT_RETRY: &str = "x-again";
+const CLIENT_RETRY: HeaderName = HeaderName::from_static("x-again");
 
 /// The headers that must not be repeated. An endpoint might read another of their values than this
 /// node does.
-const UNIQUE_HEADERS: [&str; 4] = [CALL_ID, BUDGET_MS, IDEMPOTENCY_KEY, CALLER];
+const UNIQUE_HEADERS: [HeaderName; 4] = [CALL_ID, BUDGET_MS, IDEMPOTENCY_KEY, CALLER];
 /// The longest budget, in milliseconds. A request with a longer one is rejected.
 const MAX_BUDGET_MS: u64 = 600_000;
 /// The longest call id, in bytes. A request with a longer one is rejected.
@@ -31,7 +26,7 @@
 ///
 /// Returns [`RequestError::RepeatedHeader`] if one is.
 pub(super) fn check_unique(headers: &HeaderMap) -> Result<(), RequestError> {
-    let is_repeated = |name: &str| headers.get_all(name).iter().nth(1).is_some();
+    let is_repeated = |name: HeaderName| headers.get_all(name).iter().nth(1).is_some();
     if UNIQUE_HEADERS.into_iter().any(is_repeated) {
         return Err(RequestError::RepeatedHeader);
     }
@@ -61,8 +56,8 @@
 ///
 /// Returns [`RequestError::InvalidBudget`] if there is no number of milliseconds from 1 to
 /// [`MAX_BUDGET_MS`].
-pub(super) fn budget(headers: &HeaderMap) -> Result<Duration, RequestError> {
-    let milliseconds = text(headers, BUDGET_MS).and_then(|text| text.parse::<u64>().ok());
+pub(super) fn time_budget(headers: &HeaderMap) -> Result<Duration, RequestError> {
+    let milliseconds = text(headers, &BUDGET_MS).and_then(|text| text.parse::<u64>().ok());
     match milliseconds {
         Some(ms) if (1..=MAX_BUDGET_MS).contains(&ms) => Ok(Duration::from_millis(ms)),
         _ => Err(RequestError::InvalidBudget),
@@ -71,12 +66,12 @@
 
 /// Returns the name of the tenant, if there is one.
 pub(super) fn tenant_name(headers: &HeaderMap) -> Option<&str> {
-    text(headers, CALLER)
+    text(headers, &CALLER)
 }
 
 /// Returns the expected work, if the client states it as a number.
 pub(super) fn cost(headers: &HeaderMap) -> Option<Duration> {
-    let microseconds = text(headers, CALL_COST)?.parse().ok()?;
+    let microseconds = text(headers, &CALL_COST)?.parse().ok()?;
     Some(Duration::from_micros(microseconds))
 }
 
@@ -86,6 +81,6 @@
 }
 
 /// Returns the value of a header as text, if there is one in visible ASCII.
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
--- a/crates/node/src/downstream/request_parser.rs
+++ b/crates/node/src/downstream/request_parser.rs
@@ -1,17 +1,16 @@
 //! Parses the heads of requests, and rejects those that do not follow the protocol.
 
-use super::options::{DownstreamOptions, RequestClass};
+use super::options::{ClassOptions, DownstreamOptions};
 use super::request_error::RequestError;
 use super::request_headers;
 use crate::limits::MAX_BODY_BYTES;
-use fnv::FnvHasher;
+use crate::stable_hash::stable_hash;
 use hyper::Method;
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderMap, HeaderValue, TRANSFER_ENCODING};
 use hyper::http::request::Parts;
 use hyper::http::uri::PathAndQuery;
 use ottertiller_balancer::Idempotency;
-use std::hash::Hasher;
 use std::time::Duration;
 
 /// A request whose head has been checked.
@@ -31,7 +30,7 @@
     /// The number of the key in the path; 0 for none.
     pub key: u64,
     /// How long the client waits, counted from when the request was received.
-    pub budget: Duration,
+    pub time_budget: Duration,
     /// How long endpoints remember the idempotency key, if the class has one.
     pub idempotency_window: Option<Duration>,
     /// The expected work, if the client states it.
@@ -85,7 +84,7 @@
     let idempotency_key = request_headers::idempotency_key(headers);
     let idempotency_window = idempotency_window(class_options, idempotency_key.is_some())?;
     let call_id = request_headers::call_id(headers)?;
-    let budget = request_headers::budget(headers)?;
+    let time_budget = request_headers::time_budget(headers)?;
     let tenant = find_tenant(options, headers)?;
     let cost = request_headers::cost(headers);
     let is_client_retry = request_headers::is_client_retry(headers);
@@ -97,7 +96,7 @@
         class,
         tenant,
         key,
-        budget,
+        time_budget,
         idempotency_window,
         cost,
         is_client_retry,
@@ -134,16 +133,12 @@
 
 /// Returns the number of a key. The same text gives the same number at every node.
 fn key_number(text: &str) -> u64 {
-    u64::from_str_radix(text, 16).unwrap_or_else(|_| {
-        let mut hasher = FnvHasher::default();
-        hasher.write(text.as_bytes());
-        hasher.finish()
-    })
+    u64::from_str_radix(text, 16).unwrap_or_else(|_| stable_hash(text))
 }
 
 /// Checks that the method and the presence of a body are what the class requires.
 fn check_method(
-    class: &RequestClass,
+    class: &ClassOptions,
     method: &Method,
     body_length: usize,
 ) -> Result<(), RequestError> {
@@ -164,7 +159,7 @@
 
 /// Returns how long endpoints remember the idempotency key, if the class has one.
 fn idempotency_window(
-    class: &RequestClass,
+    class: &ClassOptions,
     has_key: bool,
 ) -> Result<Option<Duration>, RequestError> {
     match class.idempotency {
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -98,7 +98,9 @@
                 DriverTimer::AttemptTimeout(id) => {
                     self.requests.stop_attempt(id, StopReason::TimedOut);
                 }
-                DriverTimer::Deadline(id) => self.on_deadline(id),
+                DriverTimer::Deadline(id) => {
+                    self.end_without_response(id, "deadline exceeded");
+                }
             }
         }
     }
@@ -157,7 +159,7 @@
             endpoint: attempt.endpoint,
             outcome: completed.outcome,
             elapsed: self.clock.now().saturating_sub(attempt.started_at),
-            request_finished: attempt.had_response || responds_now,
+            request_finished: attempt.needed_no_response || responds_now,
             report: completed.load_report,
         }));
     }
@@ -184,18 +186,16 @@
 
     fn on_shutdown(&mut self) {
         for id in self.requests.awaiting_response() {
-            self.on_deadline(id);
+            self.end_without_response(id, "request ended by shutdown");
         }
     }
 
-    /// Ends a request that still awaits its final response. Whatever the balancer does, no request
-    /// is left without one at its deadline.
-    fn on_deadline(&mut self, id: RequestId) {
+    /// Ends a request that still awaits its final response, at its deadline or at the end of the
+    /// drain. Whatever the balancer does, no request is left without one. `what` is for the log.
+    fn end_without_response(&mut self, id: RequestId, what: &str) {
         if self.requests.respond(id, FinalResponse::TimedOut) {
-            log_peer(format_args!(
-                "deadline exceeded: request {}: no final response",
-                id.0
-            ));
+            log_peer(format_args!("{what}: request {}: no final response", id.0));
+            // To the balancer this is a client that no longer waits: it cancels the attempts.
             self.handle_event(Event::ClientDisconnected { id });
         }
     }
--- a/crates/node/src/driver/actions.rs
+++ b/crates/node/src/driver/actions.rs
@@ -66,14 +66,14 @@
             }
             NewAttempt::NotStarted {
                 number,
-                has_response,
+                needs_no_response,
             } => Some(Event::AttemptEnded(AttemptEnd {
                 id,
                 attempt: number,
                 endpoint,
                 outcome: Outcome::NotSent,
                 elapsed: Duration::ZERO,
-                request_finished: has_response,
+                request_finished: needs_no_response,
                 report: None,
             })),
         }
@@ -96,8 +96,8 @@
         } else {
             DiscoveryCommand::Unsubscribe
         };
-        if self.discovery.try_send(command).is_err() {
-            log("command to discovery dropped: queue full");
+        if let Err(error) = self.discovery.try_send(command) {
+            log(format_args!("command dropped: discovery: {error}"));
         }
     }
 }
--- a/crates/node/src/driver/request_table.rs
+++ b/crates/node/src/driver/request_table.rs
@@ -113,7 +113,7 @@
     pub(super) fn awaiting_response(&self) -> Vec<RequestId> {
         self.requests
             .iter()
-            .filter(|(_, request)| !request.has_response())
+            .filter(|(_, request)| !request.needs_no_response())
             .map(|(id, _)| *id)
             .collect()
     }
--- a/crates/node/src/driver/request_table/attempt.rs
+++ b/crates/node/src/driver/request_table/attempt.rs
@@ -28,8 +28,9 @@
     pub endpoint: EndpointId,
     /// When it started, as the node's clock shows it.
     pub started_at: Duration,
-    /// Whether the request had its final response before this attempt ended.
-    pub had_response: bool,
+    /// Whether the request had its final response before this attempt ended, or needed none as its
+    /// client had disconnected.
+    pub needed_no_response: bool,
 }
 
 impl TrackedAttempt {
@@ -72,9 +73,9 @@
         }
     }
 
-    /// Ends the attempt; `None` if it had ended before. `has_response` says whether its request has
-    /// the final response.
-    pub(super) fn end(&mut self, has_response: bool) -> Option<EndedAttempt> {
+    /// Ends the attempt; `None` if it had ended before. `needs_no_response` says whether its
+    /// request has the final response.
+    pub(super) fn end(&mut self, needs_no_response: bool) -> Option<EndedAttempt> {
         if self.has_ended() {
             return None;
         }
@@ -82,7 +83,7 @@
         Some(EndedAttempt {
             endpoint: self.endpoint,
             started_at: self.started_at,
-            had_response: has_response,
+            needed_no_response: needs_no_response,
         })
     }
 }
--- a/crates/node/src/driver/request_table/attempt/tests.rs
+++ b/crates/node/src/driver/request_table/attempt/tests.rs
@@ -15,7 +15,7 @@
     assert!(!attempt.has_ended());
     let ended = attempt.end(true).expect("its first end");
     assert_eq!((ended.endpoint, ended.started_at), (ENDPOINT, STARTED_AT));
-    assert!(ended.had_response);
+    assert!(ended.needed_no_response);
 }
 
 #[test]
--- a/crates/node/src/driver/request_table/in_flight_request.rs
+++ b/crates/node/src/driver/request_table/in_flight_request.rs
@@ -35,8 +35,9 @@
     NotStarted {
         /// The number of the attempt.
         number: u32,
-        /// Whether the request has its final response.
-        has_response: bool,
+        /// Whether the request has its final response, or needs none as its client has
+        /// disconnected.
+        needs_no_response: bool,
     },
 }
 
@@ -56,13 +57,13 @@
 
     /// Returns whether the request has its final response, or needs none as its client has
     /// disconnected.
-    pub(super) fn has_response(&self) -> bool {
+    pub(super) fn needs_no_response(&self) -> bool {
         self.response_sender.is_none()
     }
 
     /// Returns whether the request has its final response and all its attempts have ended.
     pub(super) fn is_finished(&self) -> bool {
-        self.has_response() && self.attempts.iter().all(TrackedAttempt::has_ended)
+        self.needs_no_response() && self.attempts.iter().all(TrackedAttempt::has_ended)
     }
 
     /// Takes the sender of the final response, after which no attempt sends the request any more;
@@ -82,14 +83,14 @@
         max_attempts: usize,
     ) -> NewAttempt {
         let number = self.attempts.len() as u32;
-        let has_response = self.has_response();
+        let needs_no_response = self.needs_no_response();
         let is_overdue = now >= self.upstream_request.deadline;
-        if has_response || is_overdue || self.attempts.len() >= max_attempts {
+        if needs_no_response || is_overdue || self.attempts.len() >= max_attempts {
             let attempt = TrackedAttempt::not_started(endpoint, now);
             self.attempts.push(attempt);
             return NewAttempt::NotStarted {
                 number,
-                has_response,
+                needs_no_response,
             };
         }
         let (attempt, stop_signal) = TrackedAttempt::running(endpoint, now);
@@ -110,9 +111,9 @@
 
     /// Ends the attempt of this number; `None` if there is none or it had ended before.
     pub(super) fn end_attempt(&mut self, number: u32) -> Option<EndedAttempt> {
-        let has_response = self.has_response();
+        let needs_no_response = self.needs_no_response();
         let attempt = self.attempts.get_mut(number as usize)?;
-        attempt.end(has_response)
+        attempt.end(needs_no_response)
     }
 
     /// Adds a pending timer.
--- a/crates/node/src/driver/tests/host.rs
+++ b/crates/node/src/driver/tests/host.rs
@@ -4,7 +4,7 @@
 use crate::config::Config;
 use crate::driver::request_table::RequestTableUsage;
 use crate::driver::{Driver, DriverChannels};
-use crate::memory_budget::Budget;
+use crate::memory_budget::MemoryBudget;
 use crate::message::{
     EndpointListUpdate, FinalResponse, IncomingRequest, ListedEndpoint, Message, UpstreamRequest,
 };
@@ -75,7 +75,7 @@
 pub(super) struct Peers {
     clock: Clock,
     pub messages: mpsc::Sender<Message>,
-    budget: Budget,
+    budget: MemoryBudget,
     last_id: Cell<u64>,
 }
 
@@ -96,7 +96,7 @@
         let clock = Clock::start();
         let (messages, inbox) = mpsc::channel(4096);
         let (discovery, _) = mpsc::channel(16);
-        let budget = Budget::new(BUDGET);
+        let budget = MemoryBudget::new(BUDGET);
         let upstream = Upstream::start(clock, upstream_options(config), budget.clone());
         let channels = DriverChannels {
             messages: messages.clone(),
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -5,13 +5,15 @@
 //! Dependencies run one way. [`startup`] builds all parts from the configuration, which only it and
 //! [`reload`] know. [`driver`] starts attempts through [`upstream`]; otherwise [`downstream`],
 //! [`driver`], [`upstream`] and [`discovery`] depend only on what they share: [`message`],
-//! [`limits`], [`socket`], [`memory_budget`], [`clock`] and [`logging`].
+//! [`header_names`], [`limits`], [`socket`], [`memory_budget`], [`stable_hash`], [`clock`] and
+//! [`logging`].
 
 mod clock;
 mod config;
 mod discovery;
 mod downstream;
 mod driver;
+mod header_names;
 mod limits;
 mod logging;
 mod memory_budget;
@@ -19,6 +21,7 @@
 mod reload;
 mod signals;
 mod socket;
+mod stable_hash;
 mod startup;
 mod upstream;
 
--- a/crates/node/src/memory_budget.rs
+++ b/crates/node/src/memory_budget.rs
@@ -7,33 +7,33 @@
 
 /// The budget of bytes for bodies. Clones share it.
 #[derive(Clone)]
-pub(crate) struct Budget {
+pub(crate) struct MemoryBudget {
     /// The bytes that are not leased. [`Bytes`] may be dropped on any thread, so its owner, a
-    /// [`Lease`], needs an atomic.
+    /// [`MemoryLease`], needs an atomic.
     available: Arc<AtomicUsize>,
 }
 
 /// A part of the budget. Its bytes are returned when it is dropped.
-pub(crate) struct Lease {
-    budget: Budget,
+pub(crate) struct MemoryLease {
+    budget: MemoryBudget,
     bytes: usize,
 }
 
-impl Budget {
+impl MemoryBudget {
     /// Creates a budget of `bytes`.
     pub(crate) fn new(bytes: usize) -> Self {
-        Budget {
+        MemoryBudget {
             available: Arc::new(AtomicUsize::new(bytes)),
         }
     }
 
     /// Leases `bytes`; `None` if fewer are available.
-    pub(crate) fn lease(&self, bytes: usize) -> Option<Lease> {
+    pub(crate) fn lease(&self, bytes: usize) -> Option<MemoryLease> {
         let subtract = |available: usize| available.checked_sub(bytes);
         self.available
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, subtract)
             .ok()?;
-        Some(Lease {
+        Some(MemoryLease {
             budget: self.clone(),
             bytes,
         })
@@ -46,7 +46,7 @@
     }
 }
 
-impl Lease {
+impl MemoryLease {
     /// Ties the lease to the bytes it is for. It ends when their last copy is dropped.
     pub(crate) fn keep(self, bytes: Bytes) -> Bytes {
         Bytes::from_owner(LeasedBytes {
@@ -56,7 +56,7 @@
     }
 }
 
-impl Drop for Lease {
+impl Drop for MemoryLease {
     fn drop(&mut self) {
         self.budget
             .available
@@ -67,7 +67,7 @@
 /// Bytes together with their lease.
 struct LeasedBytes {
     bytes: Bytes,
-    _lease: Lease,
+    _lease: MemoryLease,
 }
 
 impl AsRef<[u8]> for LeasedBytes {
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -70,7 +70,8 @@
     pub deadline: Duration,
     /// How long endpoints remember the idempotency key, from the first byte of the first attempt.
     pub idempotency_window: Option<Duration>,
-    /// When the first byte of the first attempt was written; `None` before that.
+    /// When the first attempt's request was handed over for writing; `None` before that. No byte of
+    /// it was written earlier.
     pub first_sent_at: Cell<Option<Duration>>,
 }
 
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -18,7 +18,7 @@
         match Config::from_env() {
             Ok(config) => apply(&config, &running_config, &discovery_address),
             Err(error) => log(format_args!(
-                "bad configuration: {}; keeping the current configuration",
+                "reload failed: keeping the current configuration: {}",
                 ErrorChain(&error)
             )),
         }
--- a/crates/node/src/socket/handle.rs
+++ b/crates/node/src/socket/handle.rs
@@ -11,8 +11,8 @@
 use tokio::io::Interest;
 use tokio::time::{Instant, sleep};
 
-/// How often a peer is checked that has sent more than is read ahead: one that has disconnected is
-/// to be known to have done so well within 0.1 s.
+/// How often a peer is checked that has sent more than is read ahead. Its disconnect must be
+/// noticed well within 0.1 s.
 const PEER_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Inspects a stream, but does not keep it open.
@@ -72,7 +72,9 @@
         if fill_read_ahead(&shared).await == ReadAheadEnd::PeerClosed {
             return;
         }
-        // No more can be read ahead: only the runtime's readiness is left, which wakes nobody.
+        // The buffer is full, so that the end of the stream cannot be read. The runtime still
+        // learns that the peer has closed, but wakes no task for it: it has to be checked at
+        // intervals.
         while !self.is_peer_closed() {
             sleep(PEER_CHECK_INTERVAL).await;
         }
--- a/crates/node/src/socket/system_calls.rs
+++ b/crates/node/src/socket/system_calls.rs
@@ -1,5 +1,5 @@
-//! The system calls on the streams of clients, endpoints and discovery. Tests make them fail here,
-//! since the kernel cannot be made to interrupt or shorten a call at will.
+//! The connects, reads, peeks and writes on the streams of clients, endpoints and discovery. Tests
+//! make them fail here, since the kernel cannot be made to interrupt or shorten a call at will.
 
 use socket2::SockRef;
 use std::io::{self, ErrorKind, IoSlice};
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -13,7 +13,7 @@
 use crate::downstream::Downstream;
 use crate::driver::{Driver, DriverChannels};
 use crate::logging::log;
-use crate::memory_budget::Budget;
+use crate::memory_budget::MemoryBudget;
 use crate::message::{DiscoveryCommand, Message};
 use crate::reload::reload_on_signal;
 use crate::signals::Signals;
@@ -84,7 +84,7 @@
     let clock = Clock::start();
     let (messages, driver_inbox) = mpsc::channel(DRIVER_INBOX);
     let (discovery_commands, discovery_inbox) = mpsc::channel(DISCOVERY_INBOX);
-    let budget = Budget::new(config.capacity.body_bytes);
+    let budget = MemoryBudget::new(config.capacity.body_bytes);
     let upstream = Upstream::start(clock, upstream_options(config), budget.clone());
     let discovery = Discovery::new(discovery_options(config), messages.clone());
     let channels = DriverChannels {
--- a/crates/node/src/startup/error.rs
+++ b/crates/node/src/startup/error.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Error)]
 pub(crate) enum NodeError {
     /// The async runtime could not be built.
-    #[error("cannot start")]
+    #[error("cannot start the async runtime")]
     Runtime(#[source] io::Error),
     /// The signal handlers could not be installed.
     #[error("cannot listen for signals")]
@@ -27,7 +27,7 @@
         source: io::Error,
     },
     /// The listener's local address is not known.
-    #[error("cannot listen")]
+    #[error("cannot read the listener's address")]
     LocalAddress(#[source] io::Error),
     /// The driver's task has ended, or has panicked if there is an error.
     #[error("the driver task ended")]
--- a/crates/node/src/startup/options.rs
+++ b/crates/node/src/startup/options.rs
@@ -2,7 +2,7 @@
 
 use crate::config::Config;
 use crate::discovery::DiscoveryOptions;
-use crate::downstream::{DownstreamOptions, RequestClass};
+use crate::downstream::{ClassOptions, DownstreamOptions};
 use crate::driver::DriverOptions;
 use crate::upstream::UpstreamOptions;
 use crate::upstream::pool::{PoolOptions, RESPONSE_COOLDOWN};
@@ -21,17 +21,17 @@
     let file = &config.settings_file;
     DownstreamOptions {
         max_connections: config.capacity.client_connections,
-        classes: request_classes(file),
+        classes: class_options(file),
         tenants: file.tenant_names.clone(),
         max_retry_after: file.settings.limits.max_retry_after,
     }
 }
 
-fn request_classes(file: &SettingsFile) -> Vec<RequestClass> {
+fn class_options(file: &SettingsFile) -> Vec<ClassOptions> {
     file.class_names
         .iter()
         .zip(&file.settings.classes)
-        .map(|(name, class)| RequestClass {
+        .map(|(name, class)| ClassOptions {
             name: name.clone(),
             idempotency: class.idempotency,
             deadline: class.deadline,
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -8,7 +8,7 @@
 mod response;
 
 use crate::clock::Clock;
-use crate::memory_budget::Budget;
+use crate::memory_budget::MemoryBudget;
 use crate::message::ListedEndpoint;
 use load_report::LoadReportParser;
 use ottertiller_balancer::settings::LoadReportColumn;
@@ -31,14 +31,14 @@
 pub(crate) struct Upstream {
     clock: Clock,
     /// Memory for the bodies of requests and responses.
-    budget: Budget,
+    budget: MemoryBudget,
     pool: Rc<Pool>,
     load_reports: LoadReportParser,
 }
 
 impl Upstream {
     /// Returns an upstream side that knows no endpoint yet, and starts the tasks of its pool.
-    pub(crate) fn start(clock: Clock, options: UpstreamOptions, budget: Budget) -> Rc<Self> {
+    pub(crate) fn start(clock: Clock, options: UpstreamOptions, budget: MemoryBudget) -> Rc<Self> {
         Rc::new(Upstream {
             clock,
             budget,
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -41,14 +41,14 @@
     pub(crate) async fn run_attempt(
         self: Rc<Self>,
         attempt: Attempt,
-        stopped: oneshot::Receiver<StopReason>,
+        stop_signal: oneshot::Receiver<StopReason>,
     ) -> CompletedAttempt {
         let written = Cell::new(false);
         let result = tokio::select! {
             biased;
             result = self.exchange_attempt(&attempt, &written) => result,
             // The exchange is dropped, and its connection closes.
-            reason = stopped => {
+            reason = stop_signal => {
                 let outcome = outcome_of_stop(reason, written.get());
                 ExchangeResult::without_response(outcome)
             }
@@ -56,7 +56,7 @@
         CompletedAttempt {
             id: attempt.id,
             outcome: result.outcome,
-            load_report: result.report,
+            load_report: result.load_report,
             response_body: result.body,
         }
     }
@@ -117,7 +117,7 @@
         connection: &Connection,
     ) -> Option<Request<Full<Bytes>>> {
         let destination = self.pool.destination(connection)?;
-        attempt.request(self.clock.now(), destination)
+        attempt.prepare_request(self.clock.now(), destination)
     }
 }
 
--- a/crates/node/src/upstream/attempt/tests.rs
+++ b/crates/node/src/upstream/attempt/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::clock::Clock;
-use crate::memory_budget::Budget;
+use crate::memory_budget::MemoryBudget;
 use crate::message::ListedEndpoint;
 use crate::socket::fault_injection::InjectedFaults;
 use crate::upstream::load_report::LoadReportParser;
@@ -64,7 +64,7 @@
         let load_reports = LoadReportParser::new(LoadReportSource::None, Vec::new());
         let upstream = Upstream {
             clock,
-            budget: Budget::new(1 << 20),
+            budget: MemoryBudget::new(1 << 20),
             pool: pool.clone(),
             load_reports,
         };
--- a/crates/node/src/upstream/health_check.rs
+++ b/crates/node/src/upstream/health_check.rs
@@ -17,21 +17,21 @@
 const LIVENESS_PATH: &str = "/health/live";
 
 impl Upstream {
-    /// Checks an endpoint's health. `started` is when the check was decided on, on the node's
+    /// Checks an endpoint's health. `started_at` is when the check was decided on, on the node's
     /// clock.
     pub(crate) async fn check_health(
         self: Rc<Self>,
         endpoint: EndpointId,
-        started: Duration,
+        started_at: Duration,
     ) -> CompletedHealthCheck {
         let exchange = timeout(HEALTH_CHECK_TIMEOUT, self.exchange_health_check(endpoint)).await;
         let result = exchange.unwrap_or(ExchangeResult::without_response(Outcome::TimedOut));
-        let report = self.report_of_health_check(&result);
+        let load_report = self.report_of_health_check(&result);
         CompletedHealthCheck {
             endpoint,
             outcome: result.outcome,
-            started_at: started,
-            load_report: report,
+            started_at,
+            load_report,
         }
     }
 
@@ -69,6 +69,6 @@
             .body
             .as_ref()
             .and_then(|body| self.load_reports.parse_body(body));
-        in_body.or(result.report)
+        in_body.or(result.load_report)
     }
 }
--- a/crates/node/src/upstream/load_report.rs
+++ b/crates/node/src/upstream/load_report.rs
@@ -36,7 +36,8 @@
         report
     }
 
-    /// Returns the report that is the body of a health check's response.
+    /// Returns the report that is the body of a health check's response. A malformed one is dropped
+    /// without a log line.
     pub(super) fn parse_body(&self, body: &[u8]) -> Option<LoadReport> {
         if !self.is_enabled() {
             return None;
--- a/crates/node/src/upstream/pool/checkout.rs
+++ b/crates/node/src/upstream/pool/checkout.rs
@@ -54,14 +54,14 @@
     /// Takes the most recently used idle connection that may carry a request.
     fn take_idle(&self, endpoint: EndpointId) -> Result<Option<Connection>, CheckoutError> {
         let mut endpoints = self.endpoints.borrow_mut();
-        let slot = endpoints.available(endpoint)?;
+        let slot = endpoints.listed_mut(endpoint)?;
         Ok(slot.idle.take_usable(self.clock.now(), self.idle_timeout))
     }
 
     /// Returns whether a further waiter would have no dial to wait for.
     fn needs_dial(&self, endpoint: EndpointId) -> Result<bool, CheckoutError> {
         let mut endpoints = self.endpoints.borrow_mut();
-        let slot = endpoints.available(endpoint)?;
+        let slot = endpoints.listed_mut(endpoint)?;
         slot.waiters.remove_cancelled();
         Ok(slot.dials_in_flight <= slot.waiters.len())
     }
@@ -70,14 +70,14 @@
     fn start_dial(self: &Rc<Self>, endpoint: EndpointId) -> Result<(), CheckoutError> {
         // The permit may cost an idle connection to any endpoint, so that the table must not be
         // borrowed yet.
+        let address = self.endpoints.borrow_mut().listed_mut(endpoint)?.address;
         let permit = self.acquire_permit().inspect_err(|error| {
-            let endpoint = endpoint.0;
             log_peer(format_args!(
-                "attempt not sent: endpoint {endpoint:x}: {error}"
+                "connection not opened: endpoint {address}: {error}"
             ));
         })?;
         let mut endpoints = self.endpoints.borrow_mut();
-        let slot = endpoints.available(endpoint)?;
+        let slot = endpoints.listed_mut(endpoint)?;
         slot.dials_in_flight += 1;
         self.spawn_dial(Dial {
             endpoint,
@@ -91,7 +91,7 @@
     /// Adds the caller to those who wait for a connection.
     fn enqueue(&self, endpoint: EndpointId) -> Result<PendingCheckout<'_>, CheckoutError> {
         let mut endpoints = self.endpoints.borrow_mut();
-        let slot = endpoints.available(endpoint)?;
+        let slot = endpoints.listed_mut(endpoint)?;
         Ok(PendingCheckout {
             pool: self,
             delivery: slot.waiters.enqueue(),
--- a/crates/node/src/upstream/pool/connection.rs
+++ b/crates/node/src/upstream/pool/connection.rs
@@ -8,6 +8,7 @@
 use http_body_util::Full;
 use hyper::client::conn::http1::SendRequest;
 use ottertiller_balancer::EndpointId;
+use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::task::AbortHandle;
 
@@ -18,6 +19,8 @@
 pub(crate) struct Connection {
     /// Where it leads.
     pub endpoint: EndpointId,
+    /// The address that it was dialled at.
+    pub address: SocketAddr,
     /// The epoch of the endpoint that it was dialled for.
     pub epoch: Epoch,
     /// The end of its cool-down after a response, on the node's clock: it carries no further
--- a/crates/node/src/upstream/pool/dial.rs
+++ b/crates/node/src/upstream/pool/dial.rs
@@ -86,14 +86,13 @@
     /// Opens a connection. If this node is out of resources, the longest idle one is closed for the
     /// next dial.
     async fn dial(&self, dial: Dial) -> CheckoutResult {
-        let endpoint = dial.endpoint;
+        let address = dial.address;
         let connected = connect(dial, self.options.connect_timeout).await;
         connected.map_err(|error| {
             if let DialError::LocalResources(_) = error {
                 let cause = ErrorChain(&error);
                 log_peer(format_args!(
-                    "cannot dial: endpoint {:x}: {cause}",
-                    endpoint.0
+                    "connection not opened: endpoint {address}: {cause}"
                 ));
                 self.endpoints.borrow_mut().close_longest_idle();
             }
@@ -137,12 +136,13 @@
         .max_buf_size(READ_BUFFER_BYTES)
         .handshake(socket)
         .await;
-    let (sender, driver) = handshake.map_err(DialError::Handshake)?;
+    let (sender, connection_task) = handshake.map_err(DialError::Handshake)?;
     let task = spawn_local(async move {
-        let _ = driver.await; // an error shows in the exchange on it
+        let _ = connection_task.await; // an error shows in the exchange on it
     });
     Ok(Connection {
         endpoint: dial.endpoint,
+        address: dial.address,
         epoch: dial.epoch,
         cooling_until: Duration::ZERO,
         sender,
--- a/crates/node/src/upstream/pool/endpoint_table.rs
+++ b/crates/node/src/upstream/pool/endpoint_table.rs
@@ -85,8 +85,8 @@
 impl EndpointTable {
     /// Applies an update of the endpoint list.
     ///
-    /// Endpoints that are removed are forgotten: nothing more is sent to them, and over a day there
-    /// are ever new ones.
+    /// Endpoints that are removed are forgotten: nothing more is sent to them, and the table would
+    /// grow with each replaced endpoint.
     pub(super) fn apply(&mut self, kind: ListKind, listed: &[ListedEndpoint]) {
         if matches!(kind, ListKind::Snapshot | ListKind::Cached) {
             self.remove_unlisted(listed);
@@ -127,8 +127,15 @@
         self.slots.get_mut(&id)
     }
 
-    /// Returns the endpoint that a connection is checked out for.
-    pub(super) fn available(&mut self, id: EndpointId) -> Result<&mut EndpointSlot, CheckoutError> {
+    /// Returns a listed endpoint, in whatever state it is.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`CheckoutError::EndpointUnavailable`] if it is not listed.
+    pub(super) fn listed_mut(
+        &mut self,
+        id: EndpointId,
+    ) -> Result<&mut EndpointSlot, CheckoutError> {
         self.get_mut(id).ok_or(CheckoutError::EndpointUnavailable)
     }
 
--- a/crates/node/src/upstream/request.rs
+++ b/crates/node/src/upstream/request.rs
@@ -1,24 +1,19 @@
 //! Requests as they are written to endpoints.
 
+use crate::header_names::{BUDGET_MS, CALL_ID, IDEMPOTENCY_KEY};
 use crate::upstream::attempt::Attempt;
 use bytes::Bytes;
 use http_body_util::Full;
-use hyper::header::{HOST, HeaderMap, HeaderName, HeaderValue};
+use hyper::header::{HOST, HeaderMap, HeaderValue};
 use hyper::{Method, Request, Uri};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The call id, which is the same in all attempts of a request.
-const CALL_ID: HeaderName = HeaderName::from_static("x-call-id");
-/// The milliseconds until the node stops waiting for the attempt.
-const BUDGET_MS: HeaderName = HeaderName::from_static("x-budget-ms");
-/// The key by which endpoints drop repeats.
-const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-
 impl Attempt {
-    /// Returns the request as it is written at `now`, if it still may be: not past its time, not
-    /// once endpoints have forgotten its idempotency key, and not once it has its final response.
-    pub(super) fn request(
+    /// Prepares the request to be written at `now`, and records the first time that this is done.
+    /// Returns `None` if it may not be written any more: past its time, once endpoints have
+    /// forgotten its idempotency key, or once it has its final response.
+    pub(super) fn prepare_request(
         &self,
         now: Duration,
         destination: SocketAddr,
@@ -44,7 +39,7 @@
             self.upstream_request.idempotency_window,
             self.upstream_request.first_sent_at.get(),
         ) {
-            (Some(window), Some(first_byte)) => now >= first_byte + window,
+            (Some(window), Some(first_sent_at)) => now >= first_sent_at + window,
             _ => false,
         }
     }
--- a/crates/node/src/upstream/response.rs
+++ b/crates/node/src/upstream/response.rs
@@ -2,7 +2,7 @@
 
 use crate::limits::MAX_BODY_BYTES;
 use crate::logging::log_peer;
-use crate::memory_budget::Lease;
+use crate::memory_budget::MemoryLease;
 use crate::upstream::Upstream;
 use crate::upstream::pool::Connection;
 use bytes::Bytes;
@@ -24,7 +24,7 @@
     /// How the exchange ended.
     pub outcome: Outcome,
     /// The load report in the response's headers.
-    pub report: Option<LoadReport>,
+    pub load_report: Option<LoadReport>,
     /// The response's body, if the request was served.
     pub body: Option<Bytes>,
 }
@@ -34,16 +34,16 @@
     pub(super) fn without_response(outcome: Outcome) -> Self {
         ExchangeResult {
             outcome,
-            report: None,
+            load_report: None,
             body: None,
         }
     }
 
     /// Returns the result of an exchange whose response was dropped unread.
-    fn without_body(outcome: Outcome, report: Option<LoadReport>) -> Self {
+    fn without_body(outcome: Outcome, load_report: Option<LoadReport>) -> Self {
         ExchangeResult {
             outcome,
-            report,
+            load_report,
             body: None,
         }
     }
@@ -91,15 +91,15 @@
     ) -> ReceivedResponse {
         let (head, body) = response.into_parts();
         let keeps_connection = is_delimited(&head.headers, &body);
-        let report = self.load_reports.parse_headers(&head.headers);
+        let load_report = self.load_reports.parse_headers(&head.headers);
         let lease = match self.lease_for_body(&body) {
             Ok(lease) => lease,
             Err(error) => {
-                let endpoint = connection.endpoint.0;
+                let address = connection.address;
                 log_peer(format_args!(
-                    "response dropped: endpoint {endpoint:x}: {error}"
+                    "response dropped: endpoint {address}: {error}"
                 ));
-                let result = ExchangeResult::without_body(Outcome::Error, report);
+                let result = ExchangeResult::without_body(Outcome::Error, load_report);
                 return ReceivedResponse::closing_connection(result);
             }
         };
@@ -113,7 +113,7 @@
         let outcome = outcome_of_status(head.status, &head.headers);
         let result = ExchangeResult {
             outcome,
-            report,
+            load_report,
             body: (outcome == Outcome::Served).then_some(body),
         };
         ReceivedResponse {
@@ -123,7 +123,7 @@
     }
 
     /// Leases memory for a response's body.
-    fn lease_for_body(&self, body: &Incoming) -> Result<Lease, ResponseDropped> {
+    fn lease_for_body(&self, body: &Incoming) -> Result<MemoryLease, ResponseDropped> {
         let max_length = match body.size_hint().exact() {
             Some(length) => usize::try_from(length).unwrap_or(usize::MAX),
             None => MAX_BODY_BYTES,
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -13,10 +13,10 @@
 #[derive(Debug, Error)]
 pub(crate) enum AdapterError {
     /// Standard input cannot be read.
-    #[error("cannot read")]
+    #[error("cannot read standard input")]
     Read(#[source] io::Error),
     /// Standard output cannot be written.
-    #[error("cannot write")]
+    #[error("cannot write standard output")]
     Write(#[source] io::Error),
     /// The input ended within the header of a batch.
     #[error("batch header: {received} of {BATCH_HEADER_SIZE} bytes")]
@@ -84,7 +84,7 @@
     #[error("unknown endpoint state {0}")]
     UnknownEndpointState(u8),
     /// A load report has more values than a record has room for.
-    #[error("a load report of {0} values")]
+    #[error("a load report of {0} values, more than a record holds")]
     TooManyReportValues(usize),
     /// A field points to bytes outside the tail of its batch.
     #[error("{field}: points to {count} x {size} bytes at {start} of a tail of {tail}")]
--- a/crates/simulator-adapter/src/wire/record.rs
+++ b/crates/simulator-adapter/src/wire/record.rs
@@ -140,7 +140,7 @@
 /// Decodes an endpoint list, whose entries are in the tail.
 fn endpoint_list(fields: &mut FieldReader, tail: &[u8]) -> Result<Event, RecordError> {
     let kind = list_kind(fields.u8()?)?;
-    fields.skip::<4>()?; // not needed for any decision
+    fields.skip::<4>()?; // the version of the list
     let entries = slice_of_tail("endpoint entries", fields, tail, ENTRY_SIZE)?
         .chunks_exact(ENTRY_SIZE)
         .map(endpoint_entry)
@@ -194,7 +194,7 @@
 /// Decodes the start of a streamed response.
 fn stream_started(fields: &mut FieldReader) -> Result<Event, FieldError> {
     let id = RequestId(fields.u64()?);
-    fields.skip::<8>()?; // not needed for any decision
+    fields.skip::<8>()?; // the time since the request was issued
     let attempt = fields.u8()?.into();
     let endpoint = fields.endpoint()?;
     Ok(Event::StreamStarted {
