--- a/crates/node/src/logging/error_chain.rs
+++ b/crates/error-chain/src/lib.rs
@@ -1,13 +1,13 @@
-//! Errors as the log shows them.
+//! Errors as the programs print them.
 //!
 //! An error's own text says what its layer knows, and `source` gives the cause. So an error is
-//! logged with its whole chain of causes.
+//! printed with its whole chain of causes.
 
 use std::error::Error;
 use std::fmt;
 
 /// Displays an error and its causes in one line, the outermost first, separated by colons.
-pub(crate) struct ErrorChain<'a>(pub &'a dyn Error);
+pub struct ErrorChain<'a>(pub &'a dyn Error);
 
 impl fmt::Display for ErrorChain<'_> {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
--- /dev/null
+++ b/crates/error-chain/src/tests.rs
@@ -0,0 +1,17 @@
+use super::ErrorChain;
+use std::io;
+
+#[derive(Debug, thiserror::Error)]
+#[error("endpoint 7")]
+struct Middle(#[source] io::Error);
+
+#[derive(Debug, thiserror::Error)]
+#[error("response dropped")]
+struct Outer(#[source] Middle);
+
+#[test]
+fn an_error_is_printed_with_each_cause_once_in_one_line() {
+    let error = Outer(Middle(io::Error::other("out of memory")));
+    let line = ErrorChain(&error).to_string();
+    assert_eq!(line, "response dropped: endpoint 7: out of memory");
+}
--- a/crates/node/src/config/error/tests.rs
+++ b/crates/node/src/config/error/tests.rs
@@ -1,6 +1,6 @@
 use crate::config::Config;
-use crate::logging::ErrorChain;
 use crate::startup::NodeError;
+use ottertiller_error_chain::ErrorChain;
 
 const GOOD: &str = r#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"7f","limits":{"sockets":1024},
     "settings":{"Classes":[{"Name":"read","Target":200,"GiveUp":400,"Idempotency":"free"}]}}"#;
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -11,13 +11,14 @@
 mod readiness;
 mod watch;
 
-use crate::logging::{ErrorChain, log};
+use crate::logging::log;
 use crate::message::{DiscoveryCommand, EndpointListUpdate, ListedEndpoint, Message};
 use backoff::{ReconnectBackoff, longest_wait};
 use client::DiscoveryClient;
 use endpoint_list::{EndpointList, EntryParser};
 use list_version::ListVersion;
 use ottertiller_balancer::ListKind;
+use ottertiller_error_chain::ErrorChain;
 use readiness::Readiness;
 use serde_json::Value;
 use std::cell::Cell;
--- a/crates/node/src/discovery/watch.rs
+++ b/crates/node/src/discovery/watch.rs
@@ -2,7 +2,8 @@
 
 use crate::discovery::error::DiscoveryError;
 use crate::discovery::{Discovery, ListSource, next_address, parse_list};
-use crate::logging::{ErrorChain, log};
+use crate::logging::log;
+use ottertiller_error_chain::ErrorChain;
 use std::convert::Infallible;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/node/src/logging.rs
+++ b/crates/node/src/logging.rs
@@ -3,11 +3,9 @@
 //! A line reads `what happened: subject: cause`. Lines that do not fit into the writer's queue are
 //! lost: the log never blocks the node.
 
-mod error_chain;
 mod rate_limit;
 mod writer;
 
-pub(crate) use error_chain::ErrorChain;
 pub(crate) use writer::flush;
 
 use rate_limit::PeerLineLimit;
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -25,7 +25,7 @@
 mod startup;
 mod upstream;
 
-use logging::ErrorChain;
+use ottertiller_error_chain::ErrorChain;
 use startup::NodeError;
 use std::process::ExitCode;
 use tokio::task::LocalSet;
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,8 +1,9 @@
 //! Reloads the configuration on SIGHUP. Only the address of discovery can change in a running node.
 
 use crate::config::Config;
-use crate::logging::{ErrorChain, log};
+use crate::logging::log;
 use crate::signals::ReloadSignal;
+use ottertiller_error_chain::ErrorChain;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::watch;
--- a/crates/node/src/startup/error.rs
+++ b/crates/node/src/startup/error.rs
@@ -36,3 +36,6 @@
     #[error("the discovery task ended")]
     DiscoveryEnded(#[source] Option<JoinError>),
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/node/src/upstream/pool/dial.rs
+++ b/crates/node/src/upstream/pool/dial.rs
@@ -1,7 +1,7 @@
 //! Dialling: opening a connection to an endpoint.
 
 use crate::limits::READ_BUFFER_BYTES;
-use crate::logging::{ErrorChain, log_peer};
+use crate::logging::log_peer;
 use crate::socket::{self, Socket};
 use crate::upstream::pool::Pool;
 use crate::upstream::pool::connection::{CheckoutResult, Connection};
@@ -10,6 +10,7 @@
 use crate::upstream::pool::limit::ConnectionPermit;
 use hyper::client::conn::http1;
 use ottertiller_balancer::EndpointId;
+use ottertiller_error_chain::ErrorChain;
 use rustix::io::Errno;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,11 +1,10 @@
 //! What ends the adapter: input and output that fail, and input that breaks the protocol.
 //!
-//! The text of an error says what its own layer knows. [`ErrorChain`] adds what its sources say.
+//! The text of an error says what its own layer knows.
+//! [`ErrorChain`](ottertiller_error_chain::ErrorChain) adds what its sources say.
 
 use crate::wire::layout::BATCH_HEADER_SIZE;
 use ottertiller_balancer::SettingsError;
-use std::error::Error;
-use std::fmt;
 use std::io;
 use thiserror::Error;
 
@@ -117,18 +116,3 @@
     /// The bytes that are left.
     pub rest: usize,
 }
-
-/// An error with all its sources, in one line.
-pub(crate) struct ErrorChain<'a>(pub &'a dyn Error);
-
-impl fmt::Display for ErrorChain<'_> {
-    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{}", self.0)?;
-        let mut source = self.0.source();
-        while let Some(error) = source {
-            write!(formatter, ": {error}")?;
-            source = error.source();
-        }
-        Ok(())
-    }
-}
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -6,7 +6,8 @@
 mod simulated_node;
 mod wire;
 
-use error::{AdapterError, ErrorChain};
+use error::AdapterError;
+use ottertiller_error_chain::ErrorChain;
 use session::Session;
 use std::io::{self, BufReader, Read, Write};
 use std::process::ExitCode;
--- a/crates/simulator-adapter/src/wire/tests.rs
+++ b/crates/simulator-adapter/src/wire/tests.rs
@@ -4,12 +4,13 @@
 
 use super::layout::{ACTION_SIZE, ENTRY_SIZE, EVENT_SIZE};
 use super::*;
-use crate::error::{AdapterError, ErrorChain, FieldError, RecordError};
+use crate::error::{AdapterError, FieldError, RecordError};
 use ottertiller_balancer::settings::{LoadReportColumn, millis};
 use ottertiller_balancer::{
     Action, AttemptEnd, EndpointEntry, EndpointId, EndpointState, Event, HealthCheckEnd, ListKind,
     LoadReport, NewRequest, Outcome, RequestId, Timer,
 };
+use ottertiller_error_chain::ErrorChain;
 use std::time::Duration;
 
 fn hex(text: &str) -> Vec<u8> {
