--- a/crates/node/src/upstream/pool/checkout.rs
+++ b/crates/node/src/upstream/pool/checkout.rs
@@ -70,12 +70,9 @@
     fn start_dial(self: &Rc<Self>, endpoint: EndpointId) -> Result<(), CheckoutError> {
         // The permit may cost an idle connection to any endpoint, so that the table must not be
         // borrowed yet.
-        let address = self.endpoints.borrow_mut().listed_mut(endpoint)?.address;
-        let permit = self.acquire_permit().inspect_err(|error| {
-            log_peer(format_args!(
-                "connection not opened: endpoint {address}: {error}"
-            ));
-        })?;
+        let permit = self
+            .acquire_permit()
+            .inspect_err(|error| self.log_not_opened(endpoint, error))?;
         let mut endpoints = self.endpoints.borrow_mut();
         let slot = endpoints.listed_mut(endpoint)?;
         slot.dials_in_flight += 1;
@@ -88,6 +85,16 @@
         Ok(())
     }
 
+    /// Logs that no connection is opened to an endpoint, by its address.
+    fn log_not_opened(&self, endpoint: EndpointId, error: &CheckoutError) {
+        if let Ok(slot) = self.endpoints.borrow_mut().listed_mut(endpoint) {
+            let address = slot.address;
+            log_peer(format_args!(
+                "connection not opened: endpoint {address}: {error}"
+            ));
+        }
+    }
+
     /// Adds the caller to those who wait for a connection.
     fn enqueue(&self, endpoint: EndpointId) -> Result<PendingCheckout<'_>, CheckoutError> {
         let mut endpoints = self.endpoints.borrow_mut();
