--- a/crates/xtask/src/command_line.rs
+++ b/crates/xtask/src/command_line.rs
@@ -40,7 +40,7 @@
     /// Decides whether a run of the tests passes, with the failures that are known
     ///
     /// Each test is named as PROGRAM/PATH::NAME, such as
-    /// node/tests/node/main.rs::discovery::lists_may_be_indented. PATH is the source file that
+    /// node/tests/node/main.rs::discovery::indented_list_is_parsed. PATH is the source file that
     /// cargo prints ("Running PATH"), and PROGRAM the test program without its hash
     /// ("target/debug/deps/PROGRAM-0123456789abcdef"): packages of a workspace may have a file of
     /// the same path. Tests of the documentation are named CRATE/doc-tests::NAME. Where two
--- a/crates/xtask/src/test_output.rs
+++ b/crates/xtask/src/test_output.rs
@@ -61,7 +61,7 @@
 pub(crate) struct Test {
     /// The program, unless the test came before any announcement.
     pub program: Option<TestProgram>,
-    /// The path of the test in its program, such as `discovery::lists_may_be_indented`.
+    /// The path of the test in its program, such as `discovery::indented_list_is_parsed`.
     pub path: String,
 }
 
