--- a/crates/error-chain/src/lib.rs
+++ b/crates/error-chain/src/lib.rs
@@ -1,12 +1,12 @@
-//! Errors as the programs print them.
+//! Formats an error together with its causes, for log lines and messages on standard error.
 //!
-//! An error's own text says what its layer knows, and `source` gives the cause. So an error is
-//! printed with its whole chain of causes.
+//! The `Display` text of each error type describes the failure in its own layer only, and `source`
+//! returns the cause, so the text of one error alone does not show the root cause.
 
 use std::error::Error;
 use std::fmt;
 
-/// Displays an error and its causes in one line, the outermost first, separated by colons.
+/// Displays an error and its causes on one line, outermost first, separated by `: `.
 pub struct ErrorChain<'a>(pub &'a dyn Error);
 
 impl fmt::Display for ErrorChain<'_> {
--- a/crates/error-chain/src/tests.rs
+++ b/crates/error-chain/src/tests.rs
@@ -10,7 +10,7 @@
 struct Outer(#[source] Middle);
 
 #[test]
-fn an_error_is_printed_with_each_cause_once_in_one_line() {
+fn error_and_causes_are_printed_once_each_on_one_line() {
     let error = Outer(Middle(io::Error::other("out of memory")));
     let line = ErrorChain(&error).to_string();
     assert_eq!(line, "response dropped: endpoint 7: out of memory");
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! Plays many nodes on the simulator's wire protocol: one balancer for each node. Batches come
-//! on standard input, replies go to standard output. Knows nothing of how decisions are made.
+//! Runs many simulated nodes in one process, with one balancer for each, over the simulator's wire
+//! protocol. It reads batches of events from standard input and writes replies with actions to
+//! standard output. All decisions are made in `ottertiller_balancer`.
 
 mod error;
 mod session;
@@ -12,10 +13,10 @@
 use std::io::{self, BufReader, Read, Write};
 use std::process::ExitCode;
 
-/// The bytes of the input buffer. Most batches fit, so that one is read in few system calls.
-const INPUT_BUFFER_SIZE: usize = 1 << 16;
+/// Large enough for most batches, so that reading one takes few system calls.
+const INPUT_BUFFER_BYTES: usize = 1 << 16;
 
-/// Reads batches until the input ends, and writes a reply to each.
+/// Reads batches until the end of the input and writes a reply to each.
 fn run(input: &mut impl Read, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut session = Session::default();
     while let Some(batch) = wire::read_batch(input)? {
@@ -29,7 +30,7 @@
 }
 
 fn main() -> ExitCode {
-    let mut input = BufReader::with_capacity(INPUT_BUFFER_SIZE, io::stdin().lock());
+    let mut input = BufReader::with_capacity(INPUT_BUFFER_BYTES, io::stdin().lock());
     match run(&mut input, &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -1,31 +1,32 @@
-//! The nodes of a simulation, and their replies to batches.
+//! Dispatches the records of a batch to the simulated nodes and collects the reply.
 
 use crate::error::{AdapterError, RecordError};
-use crate::simulated_node::{DecisionPanic, SimulatedNode};
+use crate::simulated_node::{BalancerPanic, SimulatedNode};
 use crate::wire::{Batch, Input, NodeId, Record, Reply};
 use ottertiller_balancer::Action;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The running nodes.
+/// The running nodes of a simulation.
 #[derive(Default)]
 pub(crate) struct Session {
-    /// The nodes by their numbers on the wire.
+    /// The nodes by their protocol numbers.
     nodes: BTreeMap<NodeId, SimulatedNode>,
 }
 
 impl Session {
-    /// Handles the records of a batch in their order, and returns the frame of the reply.
+    /// Handles the records of a batch in order and returns the encoded frame of the reply.
     ///
     /// # Errors
     ///
-    /// Returns the first record that cannot be decoded or starts a node with unusable settings.
+    /// Returns an error for the first record that cannot be decoded or that starts a node with
+    /// invalid settings.
     pub(crate) fn handle_batch(&mut self, batch: &Batch) -> Result<Vec<u8>, AdapterError> {
         let mut reply = Reply::default();
         for (index, record) in batch.records().enumerate() {
-            let handled =
+            let result =
                 record.and_then(|record| self.handle_record(batch.clock, record, &mut reply));
-            handled.map_err(|source| AdapterError::Record {
+            result.map_err(|source| AdapterError::Record {
                 batch: batch.number,
                 record: index,
                 source,
@@ -34,7 +35,7 @@
         Ok(reply.into_frame(batch.number))
     }
 
-    /// Starts or stops a node, or passes an event to it.
+    /// Starts or stops a node, or passes it an event.
     fn handle_record(
         &mut self,
         now: Duration,
@@ -52,26 +53,26 @@
             }
             Input::PeerMessage => {}
             Input::Event { event, report } => {
-                // An event for a node that has stopped is late, and has no effect.
+                // Events that arrive after a node has stopped are ignored.
                 let Some(running) = self.nodes.get_mut(&node) else {
                     return Ok(());
                 };
-                let decided = running.handle(now, event, report);
-                self.add_decided(node, decided, reply);
+                let result = running.handle(now, event, report);
+                self.add_result(node, result, reply);
             }
         }
         Ok(())
     }
 
-    /// Adds the actions of a node to the reply. A node whose decisions panicked is reported as
-    /// faulty, and stops.
-    fn add_decided(
+    /// Adds the actions of a node to the reply. If the balancer panicked, reports the fault and
+    /// stops the node.
+    fn add_result(
         &mut self,
         node: NodeId,
-        decided: Result<Vec<Action>, DecisionPanic>,
+        result: Result<Vec<Action>, BalancerPanic>,
         reply: &mut Reply,
     ) {
-        match decided {
+        match result {
             Ok(actions) => actions.iter().for_each(|action| reply.push(node, action)),
             Err(panic) => {
                 reply.push_fault(node, &panic.message);
--- a/crates/simulator-adapter/src/simulated_node.rs
+++ b/crates/simulator-adapter/src/simulated_node.rs
@@ -1,4 +1,4 @@
-//! One node of a simulation: a balancer, with the columns of its endpoints' load reports.
+//! One simulated node: a balancer and the columns of its load reports.
 
 use crate::error::RecordError;
 use crate::wire::RawLoadReport;
@@ -8,27 +8,28 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::Duration;
 
-/// A running node.
+/// A running simulated node.
 pub(crate) struct SimulatedNode {
-    /// What decides for the node.
+    /// Makes the decisions of the node.
     balancer: Balancer,
-    /// What the values of a load report mean, in their order.
+    /// The meaning of each value of a load report, in order.
     load_report_columns: Vec<LoadReportColumn>,
 }
 
-/// A panic in the decisions of a node.
+/// A panic of the balancer while it handled an event.
 #[derive(Debug, PartialEq)]
-pub(crate) struct DecisionPanic {
-    /// The panic's message.
+pub(crate) struct BalancerPanic {
+    /// The panic message.
     pub message: String,
 }
 
 impl SimulatedNode {
-    /// Starts a node from the text of its settings file and the seed of its random numbers.
+    /// Starts a node from the text of its settings file and the seed of its random number
+    /// generator.
     ///
     /// # Errors
     ///
-    /// Returns [`RecordError::Settings`] if the settings cannot be used.
+    /// Returns [`RecordError::Settings`] if the settings are invalid.
     pub(crate) fn start(settings: &[u8], seed: u64) -> Result<Self, RecordError> {
         let file = SettingsFile::parse(settings)?;
         Ok(SimulatedNode {
@@ -37,19 +38,20 @@
         })
     }
 
-    /// Passes an event to the balancer and returns its actions. The load report, if any, becomes a
-    /// part of the event.
+    /// Passes an event to the balancer and returns its actions. The load report, if any, is decoded
+    /// and added to the event first.
     ///
     /// # Errors
     ///
-    /// Returns the message of a panic. The balancer must not be used after that.
+    /// Returns the panic message if the balancer panicked. Its state may then be inconsistent, so it
+    /// must not be used again.
     pub(crate) fn handle(
         &mut self,
         now: Duration,
         mut event: Event,
         report: Option<RawLoadReport>,
-    ) -> Result<Vec<Action>, DecisionPanic> {
-        let report = report.map(|raw| raw.named(&self.load_report_columns));
+    ) -> Result<Vec<Action>, BalancerPanic> {
+        let report = report.map(|raw| raw.to_load_report(&self.load_report_columns));
         match &mut event {
             Event::AttemptEnded(end) => end.report = report,
             Event::HealthCheckEnded(end) => end.report = report,
@@ -61,15 +63,15 @@
     }
 }
 
-/// Runs decisions, and turns a panic into an error.
-fn catch_panic(decide: impl FnOnce()) -> Result<(), DecisionPanic> {
-    catch_unwind(AssertUnwindSafe(decide)).map_err(|payload| DecisionPanic {
+/// Calls a function and returns its panic, if any, as an error.
+fn catch_panic(function: impl FnOnce()) -> Result<(), BalancerPanic> {
+    catch_unwind(AssertUnwindSafe(function)).map_err(|payload| BalancerPanic {
         message: panic_message(payload.as_ref()).to_string(),
     })
 }
 
-/// Returns the message of a panic: `panic!` gives a `&str` for a plain text and a `String` for a
-/// formatted one.
+/// Returns the message of a panic. The payload of `panic!` is a `&str` for a literal message and a
+/// `String` for a formatted one.
 fn panic_message(payload: &(dyn Any + Send)) -> &str {
     if let Some(text) = payload.downcast_ref::<String>() {
         text
--- a/crates/simulator-adapter/src/wire/batch.rs
+++ b/crates/simulator-adapter/src/wire/batch.rs
@@ -1,9 +1,9 @@
-//! Reading batches.
+//! Reads batches from the input.
 
 use super::fields::FieldReader;
 use super::layout::{BATCH_HEADER_SIZE, EVENT_SIZE};
 use super::record::Record;
-use crate::error::{AdapterError, BatchError, FieldError, RecordError};
+use crate::error::{AdapterError, BatchError, RecordError, TruncatedField};
 use ottertiller_balancer::settings::millis;
 use std::io::Read;
 use std::time::Duration;
@@ -11,23 +11,23 @@
 /// A batch of records.
 #[derive(Debug)]
 pub(crate) struct Batch {
-    /// The number that the reply repeats.
+    /// The batch number, which the reply repeats.
     pub number: u32,
-    /// The simulator's clock, at which all its events occur.
+    /// The simulator's clock. All events of the batch occur at this time.
     pub clock: Duration,
     /// The number of records at the start of the body.
     record_count: usize,
-    /// The records, and the tail that they point into.
+    /// The records, followed by the tail that they refer to.
     body: Vec<u8>,
 }
 
 /// The header of a batch.
 struct BatchHeader {
-    /// The number that the reply repeats.
+    /// The batch number, which the reply repeats.
     number: u32,
     /// The number of records.
     record_count: usize,
-    /// The bytes of all that follows the header.
+    /// The length of the records and the tail, in bytes.
     body_length: usize,
     /// The simulator's clock in milliseconds.
     clock: f64,
@@ -35,7 +35,7 @@
 
 impl BatchHeader {
     /// Decodes a header of [`BATCH_HEADER_SIZE`] bytes.
-    fn decode(bytes: &[u8]) -> Result<Self, FieldError> {
+    fn decode(bytes: &[u8]) -> Result<Self, TruncatedField> {
         let mut fields = FieldReader::new(bytes);
         Ok(BatchHeader {
             number: fields.u32()?,
@@ -45,7 +45,7 @@
         })
     }
 
-    /// Reads all that follows the header.
+    /// Reads the body that follows the header.
     fn read_body(&self, input: &mut impl Read) -> Result<Vec<u8>, AdapterError> {
         let body = read_up_to(input, self.body_length)?;
         if body.len() < self.body_length {
@@ -57,7 +57,7 @@
         Ok(body)
     }
 
-    /// Requires that the records fit in the body.
+    /// Checks that the records fit in the body.
     fn check_record_count(&self) -> Result<(), AdapterError> {
         let length = self.record_count.checked_mul(EVENT_SIZE);
         if length.is_none_or(|length| length > self.body_length) {
@@ -69,7 +69,7 @@
         Ok(())
     }
 
-    /// Names the batch in an error.
+    /// Returns an error with the number of this batch.
     fn error(&self, source: BatchError) -> AdapterError {
         AdapterError::Batch {
             batch: self.number,
@@ -78,12 +78,12 @@
     }
 }
 
-/// Reads one batch; returns `None` at the end of the input.
+/// Reads one batch. Returns `None` at the end of the input.
 ///
 /// # Errors
 ///
-/// Returns an error if the input cannot be read, ends within the batch, or has a header that
-/// breaks the protocol.
+/// Returns an error if the input cannot be read or ends within the batch, or if the header
+/// violates the protocol.
 pub(crate) fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, AdapterError> {
     let bytes = read_up_to(input, BATCH_HEADER_SIZE)?;
     if bytes.is_empty() {
@@ -105,8 +105,8 @@
     }))
 }
 
-/// Reads `length` bytes, or fewer if the input ends. The length is only a claim, so memory grows
-/// with what arrives.
+/// Reads `length` bytes, or fewer if the input ends. The buffer grows as bytes arrive, so that a
+/// header with a false length does not make the adapter allocate that much memory.
 fn read_up_to(input: &mut impl Read, length: usize) -> Result<Vec<u8>, AdapterError> {
     let mut bytes = Vec::new();
     input
@@ -118,7 +118,7 @@
 }
 
 impl Batch {
-    /// Decodes the records in their order.
+    /// Decodes the records in order.
     pub(crate) fn records(&self) -> impl Iterator<Item = Result<Record, RecordError>> + '_ {
         let (records, tail) = self.body.split_at(self.record_count * EVENT_SIZE);
         records
--- a/crates/simulator-adapter/src/wire/codes.rs
+++ b/crates/simulator-adapter/src/wire/codes.rs
@@ -1,9 +1,9 @@
-//! The codes of the protocol.
+//! Maps the protocol's numeric codes to the types of the balancer and back.
 
 use crate::error::RecordError;
 use ottertiller_balancer::{EndpointState, ListKind, Outcome, RequestId, Timer};
 
-/// The first byte of an event record.
+/// The code of an event, which is the first byte of its record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EventCode {
     Start = 1,
@@ -18,9 +18,10 @@
     Stop = 10,
 }
 
-/// The first byte of an action record, for each action that the balancer takes. The protocol has
-/// others: 67 logs a line, 72 reads the endpoint list once, 73 sends a message to other nodes and
-/// 74 closes idle connections.
+/// The code of an action, which is the first byte of its record.
+///
+/// The protocol has four more actions, which the balancer never takes: 67 logs a line, 72 reads the
+/// endpoint list once, 73 sends a message to other nodes, and 74 closes idle connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ActionCode {
     Fail = 65,
@@ -28,7 +29,7 @@
     SetTimer = 68,
     CancelAttempt = 69,
     Subscribe = 70,
-    /// The decisions of the node panicked.
+    /// Reports that the balancer of the node panicked.
     Fault = 71,
     Shed = 75,
     StartAttempt = 76,
@@ -54,8 +55,8 @@
     }
 }
 
-/// Decodes what an endpoint list event brings.
-pub(super) fn list_kind(code: u8) -> Result<ListKind, RecordError> {
+/// Decodes the kind of an endpoint list.
+pub(super) fn decode_list_kind(code: u8) -> Result<ListKind, RecordError> {
     match code {
         0 => Ok(ListKind::Delta),
         1 => Ok(ListKind::Snapshot),
@@ -65,8 +66,8 @@
     }
 }
 
-/// Decodes how an attempt or a health check ended.
-pub(super) fn outcome(code: u8) -> Result<Outcome, RecordError> {
+/// Decodes the outcome of an attempt or a health check.
+pub(super) fn decode_outcome(code: u8) -> Result<Outcome, RecordError> {
     match code {
         0 => Ok(Outcome::Error),
         1 => Ok(Outcome::Served),
@@ -80,8 +81,8 @@
     }
 }
 
-/// Decodes an endpoint's state.
-pub(super) fn endpoint_state(code: u8) -> Result<EndpointState, RecordError> {
+/// Decodes the state of an endpoint.
+pub(super) fn decode_endpoint_state(code: u8) -> Result<EndpointState, RecordError> {
     match code {
         0 => Ok(EndpointState::Removed),
         1 => Ok(EndpointState::Draining),
@@ -90,19 +91,20 @@
     }
 }
 
-/// The token of the timer that polls the endpoint list; a request's timers carry its id.
+/// The token of the timer for polling the endpoint list. The token of a request's timer is the
+/// request id.
 const ENDPOINT_POLLING_TOKEN: u64 = u64::MAX;
 
-/// Decodes the token of a timer.
-pub(super) fn timer(token: u64) -> Timer {
+/// Decodes the token of an expired timer.
+pub(super) fn decode_timer(token: u64) -> Timer {
     match token {
         ENDPOINT_POLLING_TOKEN => Timer::EndpointPolling,
         id => Timer::Request(RequestId(id)),
     }
 }
 
-/// Encodes a timer as the token that comes back when it expires.
-pub(super) fn timer_token(timer: Timer) -> u64 {
+/// Encodes a timer as the token that the simulator sends back when the timer expires.
+pub(super) fn encode_timer(timer: Timer) -> u64 {
     match timer {
         Timer::Request(id) => id.0,
         Timer::EndpointPolling => ENDPOINT_POLLING_TOKEN,
--- a/crates/simulator-adapter/src/wire/record.rs
+++ b/crates/simulator-adapter/src/wire/record.rs
@@ -1,21 +1,23 @@
-//! Decoding the records of a batch.
+//! Decodes the records of a batch.
 
-use super::codes::{EventCode, endpoint_state, list_kind, outcome, timer};
+use super::codes::{
+    EventCode, decode_endpoint_state, decode_list_kind, decode_outcome, decode_timer,
+};
 use super::fields::FieldReader;
 use super::layout::ENTRY_SIZE;
-use crate::error::{FieldError, RecordError};
+use crate::error::{RecordError, TruncatedField};
 use ottertiller_balancer::settings::{LoadReportColumn, millis};
 use ottertiller_balancer::{
     AttemptEnd, EndpointEntry, Event, HealthCheckEnd, LoadReport, NewRequest, RequestId,
 };
 
-/// The flag of a request with a cost hint.
-const HAS_COST_HINT: u8 = 1;
-/// The flag of a request that its client sends again.
-const IS_CLIENT_RETRY: u8 = 2;
+/// Set in the flags of a request that carries a cost hint.
+const COST_HINT_FLAG: u8 = 1;
+/// Set in the flags of a request that the client retries.
+const CLIENT_RETRY_FLAG: u8 = 2;
 
-/// The values that a load report has at most.
-const REPORT_VALUES: usize = 4;
+/// The maximum number of values in a load report.
+pub(crate) const MAX_LOAD_REPORT_VALUES: usize = 4;
 
 /// The number of a node in the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -24,47 +26,48 @@
 /// A record of a batch.
 #[derive(Debug, PartialEq)]
 pub(crate) struct Record {
-    /// The node that it is for.
+    /// The node that the record is addressed to.
     pub node: NodeId,
-    /// What it says.
+    /// The content of the record.
     pub input: Input,
 }
 
-/// What a record says.
+/// The content of a record.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Input {
-    /// The node starts.
+    /// Starts the node.
     Start {
-        /// The seed of its random numbers.
+        /// The seed of the node's random number generator.
         seed: u64,
-        /// The text of its settings file.
+        /// The text of the node's settings file.
         settings: Vec<u8>,
     },
-    /// The node has been killed.
+    /// Stops the node, which the simulator has killed.
     Stop,
-    /// A message from another node, which no decision uses.
+    /// A message from another node. The balancer does not use it.
     PeerMessage,
-    /// An event for the balancer. The report, if any, still needs the columns of the node.
+    /// An event for the balancer. The load report is separate, because decoding it takes the
+    /// columns from the settings of the node.
     Event {
         /// The event, without its load report.
         event: Event,
-        /// The load report of an attempt or a health check.
+        /// The load report that came with an attempt or a health check, if any.
         report: Option<RawLoadReport>,
     },
 }
 
-/// A load report whose values have no names yet.
+/// A load report whose values have not been assigned to fields yet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct RawLoadReport {
-    /// The values, of which the first `count` are used.
-    values: [f32; REPORT_VALUES],
+    /// The values; only the first `count` are used.
+    values: [f32; MAX_LOAD_REPORT_VALUES],
     /// The number of values.
     count: usize,
 }
 
 impl RawLoadReport {
-    /// Returns the report with the values in the fields that the node's columns name.
-    pub(crate) fn named(&self, columns: &[LoadReportColumn]) -> LoadReport {
+    /// Assigns each value to the field that the column at the same position names.
+    pub(crate) fn to_load_report(self, columns: &[LoadReportColumn]) -> LoadReport {
         let mut report = LoadReport::default();
         for (column, value) in columns.iter().zip(&self.values[..self.count]) {
             column.set(&mut report, *value);
@@ -72,13 +75,13 @@
         report
     }
 
-    /// Decodes a report; returns `None` for one without values.
+    /// Decodes a load report. Returns `None` if it has no values.
     fn decode(fields: &mut FieldReader) -> Result<Option<Self>, RecordError> {
         let count = usize::from(fields.u8()?);
-        if count > REPORT_VALUES {
+        if count > MAX_LOAD_REPORT_VALUES {
             return Err(RecordError::TooManyReportValues(count));
         }
-        let mut values = [0.0; REPORT_VALUES];
+        let mut values = [0.0; MAX_LOAD_REPORT_VALUES];
         for value in &mut values {
             *value = fields.f32()?;
         }
@@ -87,11 +90,11 @@
 }
 
 impl Record {
-    /// Decodes a record, which may point into the tail of its batch.
+    /// Decodes a record. `tail` is the tail of its batch, which the record may refer to.
     ///
     /// # Errors
     ///
-    /// Returns an error if the record breaks the protocol.
+    /// Returns an error if the record violates the protocol.
     pub(crate) fn decode(record: &[u8], tail: &[u8]) -> Result<Self, RecordError> {
         let mut fields = FieldReader::new(record);
         let code = fields.u8()?;
@@ -102,33 +105,37 @@
 }
 
 impl Input {
-    /// Decodes the fields that follow the code and the node.
+    /// Decodes the fields after the code and the node of a record.
     fn decode(code: EventCode, fields: &mut FieldReader, tail: &[u8]) -> Result<Self, RecordError> {
         match code {
             EventCode::Start => {
                 let seed = fields.u64()?;
-                let settings = bytes_in_tail("settings", fields, tail)?;
+                let settings = read_tail_bytes("settings", fields, tail)?;
                 Ok(Input::Start { seed, settings })
             }
             EventCode::Stop => Ok(Input::Stop),
-            EventCode::EndpointList => endpoint_list(fields, tail).map(Input::without_report),
-            EventCode::Request => Ok(Input::without_report(request(fields)?)),
-            EventCode::StreamStarted => Ok(Input::without_report(stream_started(fields)?)),
-            EventCode::AttemptEnded => attempt_ended(fields),
+            EventCode::EndpointList => {
+                decode_endpoint_list(fields, tail).map(Input::without_report)
+            }
+            EventCode::Request => Ok(Input::without_report(decode_request(fields)?)),
+            EventCode::StreamStarted => Ok(Input::without_report(decode_stream_started(fields)?)),
+            EventCode::AttemptEnded => decode_attempt_ended(fields),
             EventCode::ClientDisconnected => Ok(Input::without_report(Event::ClientDisconnected {
                 id: RequestId(fields.u64()?),
             })),
-            EventCode::Timer => Ok(Input::without_report(Event::Timer(timer(fields.u64()?)))),
-            EventCode::HealthCheckEnded => health_check_ended(fields),
+            EventCode::Timer => Ok(Input::without_report(Event::Timer(decode_timer(
+                fields.u64()?,
+            )))),
+            EventCode::HealthCheckEnded => decode_health_check_ended(fields),
             EventCode::PeerMessage => {
-                fields.skip::<4>()?; // the sender
-                slice_of_tail("peer message", fields, tail, 1)?;
+                fields.skip::<4>()?; // sender
+                read_tail_slice("peer message", fields, tail, 1)?;
                 Ok(Input::PeerMessage)
             }
         }
     }
 
-    /// Returns the input of an event that has no load report.
+    /// Creates an input from an event that has no load report.
     fn without_report(event: Event) -> Self {
         Input::Event {
             event,
@@ -137,27 +144,27 @@
     }
 }
 
-/// Decodes an endpoint list, whose entries are in the tail.
-fn endpoint_list(fields: &mut FieldReader, tail: &[u8]) -> Result<Event, RecordError> {
-    let kind = list_kind(fields.u8()?)?;
-    fields.skip::<4>()?; // the version of the list
-    let entries = slice_of_tail("endpoint entries", fields, tail, ENTRY_SIZE)?
+/// Decodes an endpoint list. Its entries are in the tail.
+fn decode_endpoint_list(fields: &mut FieldReader, tail: &[u8]) -> Result<Event, RecordError> {
+    let kind = decode_list_kind(fields.u8()?)?;
+    fields.skip::<4>()?; // version of the list
+    let entries = read_tail_slice("endpoint entries", fields, tail, ENTRY_SIZE)?
         .chunks_exact(ENTRY_SIZE)
-        .map(endpoint_entry)
+        .map(decode_endpoint_entry)
         .collect::<Result<_, _>>()?;
     Ok(Event::EndpointList { kind, entries })
 }
 
 /// Decodes an entry of an endpoint list.
-fn endpoint_entry(entry: &[u8]) -> Result<EndpointEntry, RecordError> {
+fn decode_endpoint_entry(entry: &[u8]) -> Result<EndpointEntry, RecordError> {
     let mut fields = FieldReader::new(entry);
     let id = fields.endpoint()?;
     let zone = fields.u8()?;
     let machine_type = fields.u8()?;
     let cell = fields.u16()?;
-    let state = endpoint_state(fields.u8()?)?;
+    let state = decode_endpoint_state(fields.u8()?)?;
     let weight = fields.f32()?;
-    // 0 stands for long ago.
+    // 0 means that the endpoint started long ago.
     let started_ms = fields.f64()?;
     let started = (started_ms > 0.0).then(|| millis(started_ms));
     Ok(EndpointEntry {
@@ -172,7 +179,7 @@
 }
 
 /// Decodes a new request.
-fn request(fields: &mut FieldReader) -> Result<Event, FieldError> {
+fn decode_request(fields: &mut FieldReader) -> Result<Event, TruncatedField> {
     let id = RequestId(fields.u64()?);
     let class = fields.u16()?.into();
     let tenant = fields.u16()?.into();
@@ -186,15 +193,15 @@
         tenant,
         key,
         remaining,
-        cost_hint: (flags & HAS_COST_HINT != 0).then(|| millis(cost_hint)),
-        client_retry: flags & IS_CLIENT_RETRY != 0,
+        cost_hint: (flags & COST_HINT_FLAG != 0).then(|| millis(cost_hint)),
+        client_retry: flags & CLIENT_RETRY_FLAG != 0,
     }))
 }
 
 /// Decodes the start of a streamed response.
-fn stream_started(fields: &mut FieldReader) -> Result<Event, FieldError> {
+fn decode_stream_started(fields: &mut FieldReader) -> Result<Event, TruncatedField> {
     let id = RequestId(fields.u64()?);
-    fields.skip::<8>()?; // the time since the request was issued
+    fields.skip::<8>()?; // time since the request was issued
     let attempt = fields.u8()?.into();
     let endpoint = fields.endpoint()?;
     Ok(Event::StreamStarted {
@@ -205,12 +212,12 @@
 }
 
 /// Decodes the end of an attempt.
-fn attempt_ended(fields: &mut FieldReader) -> Result<Input, RecordError> {
+fn decode_attempt_ended(fields: &mut FieldReader) -> Result<Input, RecordError> {
     let end = AttemptEnd {
         id: RequestId(fields.u64()?),
         attempt: fields.u8()?.into(),
         endpoint: fields.endpoint()?,
-        outcome: outcome(fields.u8()?)?,
+        outcome: decode_outcome(fields.u8()?)?,
         elapsed: fields.millis()?,
         request_finished: fields.u8()? != 0,
         report: None,
@@ -223,10 +230,10 @@
 }
 
 /// Decodes the end of a health check.
-fn health_check_ended(fields: &mut FieldReader) -> Result<Input, RecordError> {
+fn decode_health_check_ended(fields: &mut FieldReader) -> Result<Input, RecordError> {
     let end = HealthCheckEnd {
         endpoint: fields.endpoint()?,
-        outcome: outcome(fields.u8()?)?,
+        outcome: decode_outcome(fields.u8()?)?,
         elapsed: fields.millis()?,
         report: None,
     };
@@ -237,17 +244,18 @@
     })
 }
 
-/// Reads a pointer into the tail, and returns a copy of the bytes that it points to.
-fn bytes_in_tail(
+/// Reads an offset and a length, and returns a copy of these bytes of the tail.
+fn read_tail_bytes(
     field: &'static str,
     fields: &mut FieldReader,
     tail: &[u8],
 ) -> Result<Vec<u8>, RecordError> {
-    slice_of_tail(field, fields, tail, 1).map(<[u8]>::to_vec)
+    read_tail_slice(field, fields, tail, 1).map(<[u8]>::to_vec)
 }
 
-/// Reads a pointer into the tail, and returns the elements of `size` bytes that it points to.
-fn slice_of_tail<'a>(
+/// Reads an offset and a count, and returns the slice of the tail that starts at the offset and
+/// holds this many elements of `size` bytes.
+fn read_tail_slice<'a>(
     field: &'static str,
     fields: &mut FieldReader,
     tail: &'a [u8],
--- a/crates/simulator-adapter/src/wire/reply.rs
+++ b/crates/simulator-adapter/src/wire/reply.rs
@@ -1,7 +1,7 @@
-//! Encoding replies.
+//! Encodes replies.
 
 use super::NodeId;
-use super::codes::{ActionCode, timer_token};
+use super::codes::{ActionCode, encode_timer};
 use super::layout::{ACTION_SIZE, REPLY_HEADER_SIZE};
 use ottertiller_balancer::{Action, EndpointId};
 use std::time::Duration;
@@ -11,9 +11,9 @@
 pub(crate) struct Reply {
     /// The number of records.
     record_count: u32,
-    /// The records, of which the last may be unfinished.
+    /// The encoded records. The last one is incomplete until `finish_record` is called.
     records: Vec<u8>,
-    /// The bytes that records point to.
+    /// The data of variable length that records refer to.
     tail: Vec<u8>,
 }
 
@@ -21,24 +21,24 @@
     /// Adds a record for an action of a node.
     pub(crate) fn push(&mut self, node: NodeId, action: &Action) {
         match action {
-            Action::Fail { id } => self.record(ActionCode::Fail, node).u64(id.0),
+            Action::Fail { id } => self.start_record(ActionCode::Fail, node).u64(id.0),
             Action::HealthCheck { endpoint } => self
-                .record(ActionCode::HealthCheck, node)
+                .start_record(ActionCode::HealthCheck, node)
                 .endpoint(*endpoint),
             Action::SetTimer { after, timer } => self
-                .record(ActionCode::SetTimer, node)
+                .start_record(ActionCode::SetTimer, node)
                 .millis(*after)
-                .u64(timer_token(*timer)),
+                .u64(encode_timer(*timer)),
             Action::CancelAttempt { id, attempt } => self
-                .record(ActionCode::CancelAttempt, node)
+                .start_record(ActionCode::CancelAttempt, node)
                 .u64(id.0)
                 .u8(*attempt as u8),
             Action::Subscribe { enabled } => self
-                .record(ActionCode::Subscribe, node)
+                .start_record(ActionCode::Subscribe, node)
                 .u8((*enabled).into()),
             Action::Shed { id, retry_after } => {
                 let retry_after = retry_after.unwrap_or_default();
-                self.record(ActionCode::Shed, node)
+                self.start_record(ActionCode::Shed, node)
                     .u64(id.0)
                     .millis(retry_after)
             }
@@ -47,21 +47,21 @@
                 endpoint,
                 timeout,
             } => {
-                let record = self.record(ActionCode::StartAttempt, node);
+                let record = self.start_record(ActionCode::StartAttempt, node);
                 record.u64(id.0).endpoint(*endpoint).millis(*timeout)
             }
         };
-        self.close_record();
+        self.finish_record();
     }
 
-    /// Adds a record that says that the decisions of a node panicked.
+    /// Adds a record that reports that the balancer of a node panicked.
     pub(crate) fn push_fault(&mut self, node: NodeId, message: &str) {
-        self.record(ActionCode::Fault, node)
-            .in_tail(message.as_bytes());
-        self.close_record();
+        self.start_record(ActionCode::Fault, node)
+            .tail_bytes(message.as_bytes());
+        self.finish_record();
     }
 
-    /// Returns the frame of the reply to the batch of this number.
+    /// Returns the encoded frame of the reply to the batch with the number `batch`.
     pub(crate) fn into_frame(mut self, batch: u32) -> Vec<u8> {
         let length = self.records.len() + self.tail.len();
         let mut frame = Vec::with_capacity(REPLY_HEADER_SIZE + length);
@@ -73,57 +73,57 @@
         frame
     }
 
-    /// Starts a record.
-    fn record(&mut self, code: ActionCode, node: NodeId) -> &mut Self {
+    /// Starts a record with its code and node.
+    fn start_record(&mut self, code: ActionCode, node: NodeId) -> &mut Self {
         self.u8(code as u8).u16(node.0)
     }
 
-    /// Fills the record that was started with zeros to its size.
-    fn close_record(&mut self) {
+    /// Pads the current record with zeros to [`ACTION_SIZE`].
+    fn finish_record(&mut self) {
         self.record_count += 1;
         self.records
             .resize(self.record_count as usize * ACTION_SIZE, 0);
     }
 
-    /// Adds bytes to the tail, and a pointer to them to the record.
-    fn in_tail(&mut self, bytes: &[u8]) -> &mut Self {
+    /// Adds bytes to the tail, and their offset and length to the record.
+    fn tail_bytes(&mut self, bytes: &[u8]) -> &mut Self {
         let start = self.tail.len() as u32;
         self.tail.extend(bytes);
         self.u32(start).u32(bytes.len() as u32)
     }
 
     /// Adds bytes to the record.
-    fn put(&mut self, bytes: &[u8]) -> &mut Self {
+    fn bytes(&mut self, bytes: &[u8]) -> &mut Self {
         self.records.extend(bytes);
         self
     }
 
-    /// Adds an unsigned integer of 8 bits to the record.
+    /// Adds an unsigned 8-bit integer to the record.
     fn u8(&mut self, value: u8) -> &mut Self {
-        self.put(&[value])
+        self.bytes(&[value])
     }
 
-    /// Adds an unsigned integer of 16 bits to the record.
+    /// Adds an unsigned 16-bit integer to the record.
     fn u16(&mut self, value: u16) -> &mut Self {
-        self.put(&value.to_be_bytes())
+        self.bytes(&value.to_be_bytes())
     }
 
-    /// Adds an unsigned integer of 32 bits to the record.
+    /// Adds an unsigned 32-bit integer to the record.
     fn u32(&mut self, value: u32) -> &mut Self {
-        self.put(&value.to_be_bytes())
+        self.bytes(&value.to_be_bytes())
     }
 
-    /// Adds an unsigned integer of 64 bits to the record.
+    /// Adds an unsigned 64-bit integer to the record.
     fn u64(&mut self, value: u64) -> &mut Self {
-        self.put(&value.to_be_bytes())
+        self.bytes(&value.to_be_bytes())
     }
 
-    /// Adds a time in milliseconds to the record, in steps of a microsecond.
+    /// Adds a duration to the record, in milliseconds rounded down to whole microseconds.
     fn millis(&mut self, value: Duration) -> &mut Self {
-        self.put(&(value.as_micros() as f64 / 1000.0).to_be_bytes())
+        self.bytes(&(value.as_micros() as f64 / 1000.0).to_be_bytes())
     }
 
-    /// Adds an endpoint to the record: four bytes of address and two of port.
+    /// Adds an endpoint id to the record: a 4-byte IPv4 address and a 2-byte port.
     fn endpoint(&mut self, endpoint: EndpointId) -> &mut Self {
         self.u32((endpoint.0 >> 16) as u32).u16(endpoint.0 as u16)
     }
--- a/crates/simulator-adapter/src/wire/tests.rs
+++ b/crates/simulator-adapter/src/wire/tests.rs
@@ -1,10 +1,10 @@
-//! Frames in hexadecimal: what is read from batches, and what is written for them.
+//! Decoding of batches. Frames are written in hexadecimal.
 
 mod replies;
 
 use super::layout::{ACTION_SIZE, ENTRY_SIZE, EVENT_SIZE};
 use super::*;
-use crate::error::{AdapterError, FieldError, RecordError};
+use crate::error::{AdapterError, RecordError, TruncatedField};
 use ottertiller_balancer::settings::{LoadReportColumn, millis};
 use ottertiller_balancer::{
     Action, AttemptEnd, EndpointEntry, EndpointId, EndpointState, Event, HealthCheckEnd, ListKind,
@@ -13,21 +13,27 @@
 use ottertiller_error_chain::ErrorChain;
 use std::time::Duration;
 
+/// Returns the bytes of a hexadecimal text, which may contain whitespace.
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(|b| !b.is_ascii_whitespace()).collect();
     digits
         .chunks(2)
-        .map(|pair| u8::from_str_radix(std::str::from_utf8(pair).expect("ascii"), 16).expect("hex"))
+        .map(|pair| {
+            u8::from_str_radix(std::str::from_utf8(pair).expect("text should be ASCII"), 16)
+                .expect("text should be hexadecimal")
+        })
         .collect()
 }
 
+/// Returns the bytes of a hexadecimal text, padded with zeros to `size`.
 fn padded(text: &str, size: usize) -> Vec<u8> {
     let mut bytes = hex(text);
     bytes.resize(size, 0);
     bytes
 }
 
-fn batch(records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
+/// Returns the frame of batch 12 at a clock of 8412.25 ms.
+fn batch_frame(records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
     let mut frame = Vec::new();
     frame.extend(12u32.to_be_bytes());
     frame.extend((records.len() as u32).to_be_bytes());
@@ -38,26 +44,27 @@
     frame
 }
 
-/// The records of a batch.
-fn read(frame: &[u8]) -> Result<Vec<Record>, AdapterError> {
-    let batch = read_batch(&mut &frame[..])?.expect("a batch");
-    let in_batch = |(index, record): (usize, Result<Record, _>)| {
+/// Reads a batch and decodes its records.
+fn read_records(frame: &[u8]) -> Result<Vec<Record>, AdapterError> {
+    let batch = read_batch(&mut &frame[..])?.expect("input should hold a batch");
+    let add_location = |(index, record): (usize, Result<Record, _>)| {
         record.map_err(|source| AdapterError::Record {
             batch: batch.number,
             record: index,
             source,
         })
     };
-    batch.records().enumerate().map(in_batch).collect()
+    batch.records().enumerate().map(add_location).collect()
 }
 
-/// The only record of a batch.
+/// Decodes a batch of one record.
 fn read_record(record: &str, tail: &str) -> Record {
-    read(&batch(&[padded(record, EVENT_SIZE)], &hex(tail)))
-        .expect("legal")
+    read_records(&batch_frame(&[padded(record, EVENT_SIZE)], &hex(tail)))
+        .expect("record should be valid")
         .remove(0)
 }
 
+/// Decodes the input of the only record of a batch.
 fn read_input(record: &str, tail: &str) -> Input {
     read_record(record, tail).input
 }
@@ -74,11 +81,11 @@
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply() {
+fn empty_batch_gets_empty_reply() {
     let frame = hex("00000001 00000000 00000000 40c06e2000000000");
     let batch = read_batch(&mut &frame[..])
-        .expect("legal")
-        .expect("a batch");
+        .expect("batch should be valid")
+        .expect("input should hold a batch");
     assert_eq!(
         (batch.number, batch.clock, batch.records().count()),
         (1, ms(8412.25), 0)
@@ -90,7 +97,7 @@
 }
 
 #[test]
-fn a_batch_of_two_nodes_is_decoded() {
+fn batch_for_two_nodes_is_decoded() {
     let records = [
         padded(
             "03 0003 000fb0475d3a91c4 0000 0000 91f03b7c55d20a64 406e000000000000 4028000000000000 01",
@@ -99,7 +106,7 @@
         padded("07 0003 000000000000004d", EVENT_SIZE),
         padded("06 0005 0004ed230e6f2b19", EVENT_SIZE),
     ];
-    let frame = batch(&records, &[]);
+    let frame = batch_frame(&records, &[]);
     assert_eq!(frame[..12], hex("0000000c 00000003 00000090"));
     let request = NewRequest {
         id: RequestId(0x000f_b047_5d3a_91c4),
@@ -114,7 +121,7 @@
         id: RequestId(0x0004_ed23_0e6f_2b19),
     };
     assert_eq!(
-        read(&frame).expect("legal"),
+        read_records(&frame).expect("batch should be valid"),
         [
             Record {
                 node: NodeId(3),
@@ -133,7 +140,7 @@
 }
 
 #[test]
-fn an_endpoint_list_is_decoded() {
+fn endpoint_list_is_decoded() {
     let tail = "0a124a07 1b5b 00 00 0000 02 3f800000 0000000000000000
                 0a9011f2 1b84 01 00 0000 02 3fc00000 40b7d40000000000";
     let input = read_input("02 0003 02 00000029 00000000 00000002", tail);
@@ -161,7 +168,7 @@
 }
 
 #[test]
-fn the_end_of_an_attempt_is_decoded() {
+fn end_of_attempt_is_decoded() {
     let input = read_input(
         "05 0003 000fb0475d3a91c4 00 0a124a07 1b5b 01 4032800000000000 01 00",
         "",
@@ -179,7 +186,7 @@
 }
 
 #[test]
-fn a_load_report_is_named_by_the_columns_of_its_node() {
+fn load_report_values_are_assigned_by_columns() {
     let input = read_input(
         "08 0001 0a124a07 1b5b 01 3ff0000000000000 03 40400000 3f800000 3f000000",
         "",
@@ -198,7 +205,7 @@
         report: None,
     };
     assert_eq!(end, expected);
-    let report = raw.named(&[
+    let report = raw.to_load_report(&[
         LoadReportColumn::InFlight,
         LoadReportColumn::Unknown,
         LoadReportColumn::Utilisation,
@@ -212,7 +219,7 @@
 }
 
 #[test]
-fn starts_stops_streams_and_peer_messages_are_decoded() {
+fn start_stop_stream_start_and_peer_message_are_decoded() {
     let record = read_record("01 0007 0000000000000009 00000001 00000002", "ff7b7d");
     let input = Input::Start {
         seed: 9,
@@ -241,19 +248,25 @@
 }
 
 #[test]
-fn errors_name_the_batch_the_record_and_the_cause() {
-    let good = padded("0a 0001", EVENT_SIZE);
-    let with = |bad: &str| batch(&[good.clone(), padded(bad, EVENT_SIZE)], b"tail");
+fn error_names_batch_record_and_cause() {
+    let valid = padded("0a 0001", EVENT_SIZE);
+    let with = |invalid: &str| batch_frame(&[valid.clone(), padded(invalid, EVENT_SIZE)], b"tail");
     let cases = [
-        (hex("00000001 0000"), "batch header: 6 of 20 bytes"),
-        (with("0a 0001")[..60].to_vec(), "batch 12: 40 of 100 bytes"),
+        (
+            hex("00000001 0000"),
+            "batch header truncated: received 6 of 20 bytes",
+        ),
+        (
+            with("0a 0001")[..60].to_vec(),
+            "batch 12: body truncated: received 40 of 100 bytes",
+        ),
         (
             hex("0000000c 7fffffff 00000000 40c06e2000000000"),
             "batch 12: 2147483647 records do not fit",
         ),
         (
             hex("0000000c 00000000 00000000 7ff8000000000000"),
-            "batch 12: the clock is no number",
+            "batch 12: clock is not a finite number",
         ),
         (with("0b 0001"), "batch 12: record 1: unknown event code 11"),
         (
@@ -262,11 +275,11 @@
         ),
         (
             with("02 0001 01 00000001 00000000 ffffffff"),
-            "batch 12: record 1: endpoint entries: points to 4294967295 x 23 bytes",
+            "batch 12: record 1: endpoint entries: 4294967295 x 23 bytes at offset",
         ),
         (
             with("09 0001 00000001 00000003 00000002"),
-            "batch 12: record 1: peer message: points to 2 x 1 bytes at 3 of a tail of 4",
+            "batch 12: record 1: peer message: 2 x 1 bytes at offset 3 exceed the tail of 4 bytes",
         ),
         (
             with("08 0001 00000000 0001 08"),
@@ -274,50 +287,61 @@
         ),
         (
             with("08 0001 00000000 0001 01 0000000000000000 05"),
-            "batch 12: record 1: a load report of 5 values",
+            "batch 12: record 1: load report has 5 values, but the maximum is 4",
         ),
     ];
     for (frame, expected) in cases {
-        let error = read(&frame).expect_err(expected);
+        let error = read_records(&frame).expect_err(expected);
         let error = ErrorChain(&error).to_string();
-        assert!(error.starts_with(expected), "{error} instead of {expected}");
+        assert!(
+            error.starts_with(expected),
+            "{error:?} does not start with {expected:?}"
+        );
     }
     let entry = padded("0a124a07 1b5b 00 00 0000 03", ENTRY_SIZE);
-    let error = read(&batch(
+    let error = read_records(&batch_frame(
         &[padded("02 0001 01 00000001 00000000 00000001", EVENT_SIZE)],
         &entry,
     ));
     assert_eq!(
-        ErrorChain(&error.expect_err("bad state")).to_string(),
+        ErrorChain(&error.expect_err("state 3 should be unknown")).to_string(),
         "batch 12: record 0: unknown endpoint state 3"
     );
 }
 
 #[test]
-fn a_short_record_is_an_error_and_no_panic() {
-    let cut_short = [
+fn truncated_record_is_error() {
+    let truncated = [
         "01 0001", "02 0001", "03 0001", "04 0001", "05 0001", "06 0001", "07 0001", "08 0001",
         "09 0001",
     ];
-    for text in cut_short {
+    for text in truncated {
         let error = Record::decode(&hex(text), &[]).expect_err(text);
         assert!(
             matches!(error, RecordError::Truncated(_)),
             "{text}: {error}"
         );
     }
-    let error = Record::decode(&hex("07 0001 00000000"), &[]).expect_err("half an id");
-    let expected = FieldError { size: 8, rest: 4 };
+    let error =
+        Record::decode(&hex("07 0001 00000000"), &[]).expect_err("request id should be truncated");
+    let expected = TruncatedField {
+        size: 8,
+        remaining: 4,
+    };
     assert!(matches!(error, RecordError::Truncated(error) if error == expected));
 }
 
 #[test]
-fn the_end_of_the_input_is_no_error() {
-    assert!(read_batch(&mut &[][..]).expect("legal").is_none());
+fn end_of_input_is_not_error() {
+    assert!(
+        read_batch(&mut &[][..])
+            .expect("end of input should not be an error")
+            .is_none()
+    );
 }
 
 #[test]
-fn ids_go_out_as_they_came_in() {
+fn ids_are_returned_unchanged() {
     let tail = "0a90ffff 1b84 02 00 0000 02 3f800000 0000000000000000";
     let input = read_input("02 0003 01 00000001 00000000 00000001", tail);
     let Input::Event {
--- a/crates/simulator-adapter/src/wire/tests/replies.rs
+++ b/crates/simulator-adapter/src/wire/tests/replies.rs
@@ -1,4 +1,4 @@
-//! What is written for actions, in hexadecimal.
+//! Encoding of replies. Frames are written in hexadecimal.
 
 use super::{hex, ms, padded};
 use crate::wire::layout::ACTION_SIZE;
@@ -6,7 +6,7 @@
 use ottertiller_balancer::{Action, EndpointId, RequestId, Timer};
 
 #[test]
-fn a_reply_of_two_actions_and_a_fault_is_byte_exact() {
+fn reply_with_two_actions_and_fault_is_byte_exact() {
     let mut reply = Reply::default();
     let endpoint = EndpointId(0x0a12_4a07_1b5b);
     reply.push(
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_other_actions_are_byte_exact() {
+fn other_actions_are_byte_exact() {
     let (id, endpoint) = (RequestId(5), EndpointId(0x0102_0304_0506));
     let cases = [
         (Action::Fail { id }, "41 0003 0000000000000005"),
