--- a/crates/node/tests/example_config.rs
+++ b/crates/node/tests/example_config.rs
@@ -1,4 +1,4 @@
-//! The example configuration of the README: the node starts with it, and its settings are read.
+//! Tests that the node starts with the example configuration of the README and reads its settings.
 
 use ottertiller_balancer::settings::SettingsFile;
 use ottertiller_balancer::{Idempotency, LoadReportSource};
@@ -10,7 +10,7 @@
 
 const EXAMPLE: &str = include_str!("../../../docs/example-config.json");
 
-/// The example with other addresses in place of its fixed ones.
+/// Returns the example configuration with other addresses. Checks that it has the fixed ones.
 fn with_addresses(listen: &str, discovery: &str) -> String {
     assert!(EXAMPLE.contains("\"127.0.0.1:8080\"") && EXAMPLE.contains("\"127.0.0.1:8081\""));
     let config = EXAMPLE.replace("127.0.0.1:8080", listen);
@@ -18,12 +18,16 @@
 }
 
 #[test]
-fn the_node_starts_with_the_example_configuration() {
-    let discovery = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let discovery_address = discovery.local_addr().expect("its address").to_string();
+fn node_starts_with_example_configuration() {
+    let discovery = TcpListener::bind("127.0.0.1:0").expect("loopback port should bind");
+    let discovery_address = discovery
+        .local_addr()
+        .expect("listener should have an address")
+        .to_string();
     let name = format!("example-config-{}.json", std::process::id());
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    fs::write(&path, with_addresses("127.0.0.1:0", &discovery_address)).expect("a file");
+    fs::write(&path, with_addresses("127.0.0.1:0", &discovery_address))
+        .expect("configuration should be written");
 
     let mut node = Command::new(env!("CARGO_BIN_EXE_ottertiller"))
         .env("PROXY_CONFIG", &path)
@@ -31,23 +35,25 @@
         .stdout(Stdio::null())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the node starts");
+        .expect("node should start");
     let mut first_line = String::new();
-    let read = BufReader::new(node.stderr.take().expect("its log")).read_line(&mut first_line);
-    let _ = node.kill(); // it may have ended by itself
-    node.wait().expect("its end");
-    fs::remove_file(&path).expect("the file is there");
+    let stderr = node.stderr.take().expect("stderr should be piped");
+    let read = BufReader::new(stderr).read_line(&mut first_line);
+    let _ = node.kill(); // the node may have exited already
+    node.wait().expect("node should exit");
+    fs::remove_file(&path).expect("configuration should be removed");
 
-    read.expect("a line of the log");
+    read.expect("log should have a first line");
     let expected = "node-0 listens on 127.0.0.1:";
     assert!(first_line.contains(expected), "{first_line}");
 }
 
 #[test]
-fn the_settings_of_the_example_are_read() {
-    let config: serde_json::Value = serde_json::from_str(EXAMPLE).expect("JSON");
+fn settings_of_example_are_read() {
+    let config: serde_json::Value =
+        serde_json::from_str(EXAMPLE).expect("example should be valid JSON");
     let text = config["settings"].to_string();
-    let file = SettingsFile::parse(text.as_bytes()).expect("settings");
+    let file = SettingsFile::parse(text.as_bytes()).expect("settings should be valid");
     assert_eq!(file.class_names, ["read", "submit", "correct"]);
     assert_eq!(file.tenant_names, ["acme", "globex"]);
     assert_eq!(file.zone_names, ["east", "west"]);
--- a/crates/node/tests/node/bad_input.rs
+++ b/crates/node/tests/node/bad_input.rs
@@ -1,18 +1,18 @@
-//! Malformed requests and configurations get an error and reach no endpoint.
+//! Malformed requests get an error and reach no endpoint; malformed configurations are reported.
 
 use crate::support::client::{common_headers, request_head};
 use crate::support::config::NodeConfig;
 use crate::support::endpoint::{ScriptedEndpoint, ok};
-use crate::support::gate::gate;
+use crate::support::gate::reply_gate;
 use crate::support::message::Message;
 use crate::support::process::node_command;
-use crate::support::settings::{LONG_MS, MAX_BODY_BYTES, NodeSettings};
+use crate::support::settings::{LONG_DEADLINE_MS, MAX_BODY_BYTES, NodeSettings};
 use crate::support::setup::start_node;
 
-const KEY: &str = "Idempotency-Key: 5c0f\r\n";
+const KEY_HEADER: &str = "Idempotency-Key: 5c0f\r\n";
 
-/// Asserts that a response is an error that the client has caused, and promises nothing about a
-/// retry.
+/// Asserts that a response has a 4xx status other than 429. The client caused the error, and the
+/// response does not suggest a retry.
 fn assert_client_error(response: &Message, case: &str) {
     let status = response.status();
     assert!(
@@ -25,27 +25,27 @@
 fn malformed_request_gets_error_and_reaches_no_endpoint() {
     let endpoint = ScriptedEndpoint::serving("");
     let (node, _discovery) = start_node(&[&endpoint]);
-    let good = || common_headers(5000);
+    let valid_headers = || common_headers(5000);
     let without = |name: &str| {
-        good()
+        valid_headers()
             .split_inclusive("\r\n")
             .filter(|line| !line.starts_with(name))
             .collect::<String>()
     };
     let with = |name: &str, value: &str| format!("{}{name}: {value}\r\n", without(name));
-    let long = "i".repeat(5000);
+    let oversized_id = "i".repeat(5000);
     let cases: [(&str, String, Vec<u8>); 22] = [
-        ("GET /nothing/1", good(), vec![]),
-        ("GET /", good(), vec![]),
-        ("OPTIONS *", good(), vec![]),
-        ("POST /read/1", good(), vec![]),
-        ("GET /correct/1", good(), vec![]),
-        ("DELETE /read/1", good(), vec![]),
-        ("GET /read/1", good(), b"body".to_vec()),
-        ("POST /submit/1", good(), vec![]),
+        ("GET /nothing/1", valid_headers(), vec![]),
+        ("GET /", valid_headers(), vec![]),
+        ("OPTIONS *", valid_headers(), vec![]),
+        ("POST /read/1", valid_headers(), vec![]),
+        ("GET /correct/1", valid_headers(), vec![]),
+        ("DELETE /read/1", valid_headers(), vec![]),
+        ("GET /read/1", valid_headers(), b"body".to_vec()),
+        ("POST /submit/1", valid_headers(), vec![]),
         ("GET /read/1", without("X-Call-Id"), vec![]),
         ("GET /read/1", with("X-Call-Id", ""), vec![]),
-        ("GET /read/1", with("X-Call-Id", &long), vec![]),
+        ("GET /read/1", with("X-Call-Id", &oversized_id), vec![]),
         ("GET /read/1", without("X-Caller"), vec![]),
         ("GET /read/1", with("X-Caller", "nobody"), vec![]),
         ("GET /read/1", without("X-Budget-Ms"), vec![]),
@@ -63,18 +63,28 @@
             with("X-Budget-Ms", "18446744073709551615"),
             vec![],
         ),
-        ("POST /correct/1", good(), vec![b'x'; MAX_BODY_BYTES + 1]),
-        ("POST /submit/1", good() + KEY, vec![b'x'; 500_000]),
+        (
+            "POST /correct/1",
+            valid_headers(),
+            vec![b'x'; MAX_BODY_BYTES + 1],
+        ),
+        (
+            "POST /submit/1",
+            valid_headers() + KEY_HEADER,
+            vec![b'x'; 500_000],
+        ),
     ];
-    for (start, headers, body) in cases {
-        let response = node.client().request(start, &headers, &body);
-        assert_client_error(&response, &format!("{start} {headers}"));
+    for (method_and_target, headers, body) in cases {
+        let response = node.client().request(method_and_target, &headers, &body);
+        assert_client_error(&response, &format!("{method_and_target} {headers}"));
     }
     assert_eq!(endpoint.request_count(), 0);
-    // The longest body that is allowed is forwarded.
-    let response = node
-        .client()
-        .request("POST /correct/1", &good(), &vec![b'x'; MAX_BODY_BYTES]);
+    // A body of the maximum size is forwarded.
+    let response = node.client().request(
+        "POST /correct/1",
+        &valid_headers(),
+        &vec![b'x'; MAX_BODY_BYTES],
+    );
     assert_eq!(
         (
             response.status(),
@@ -84,14 +94,15 @@
     );
 }
 
-/// Beside a length, Transfer-Encoding may hide a second request in the body of the first. Nothing
-/// that follows on the connection is served.
+/// If a request has both Content-Length and Transfer-Encoding, peers may disagree on its end, and
+/// its body may smuggle a second request. The node must serve nothing that follows on the
+/// connection.
 #[test]
 fn transfer_encoding_is_rejected_and_connection_closed() {
     let endpoint = ScriptedEndpoint::serving("");
     let (node, _discovery) = start_node(&[&endpoint]);
     let (length, encoding) = ("Content-Length: 4\r\n", "Transfer-Encoding: chunked\r\n");
-    let hidden = request_head("GET /read/1", &common_headers(5000));
+    let smuggled = request_head("GET /read/1", &common_headers(5000));
     for framing in [
         [length, encoding].concat(),
         [encoding, length].concat(),
@@ -100,13 +111,13 @@
         let mut client = node.client();
         let headers = common_headers(5000) + &framing;
         let head = request_head("POST /correct/1", &headers);
-        client.write(format!("{head}0\r\n\r\n{hidden}").as_bytes());
+        client.write(format!("{head}0\r\n\r\n{smuggled}").as_bytes());
         assert_eq!(
             client.receive().map(|response| response.status()),
             Some(411),
             "{framing}"
         );
-        assert!(client.is_closed());
+        assert!(client.wait_for_close());
     }
     assert_eq!(endpoint.request_count(), 0);
 }
@@ -115,13 +126,14 @@
 fn connection_closes_after_malformed_request() {
     let endpoint = ScriptedEndpoint::serving("");
     let (node, _discovery) = start_node(&[&endpoint]);
-    let good = common_headers(5000);
-    for start in ["GET /nothing/1", "POST /submit/1", "DELETE /read/1"] {
+    let headers = common_headers(5000);
+    for method_and_target in ["GET /nothing/1", "POST /submit/1", "DELETE /read/1"] {
         let mut client = node.client();
-        client.send(start, &good, b"");
+        client.send(method_and_target, &headers, b"");
         client.send("GET /read/1", &common_headers(5000), b"");
-        assert_client_error(&client.receive().expect("an error"), start);
-        assert!(client.is_closed(), "{start}");
+        let response = client.receive().expect("node should send an error");
+        assert_client_error(&response, method_and_target);
+        assert!(client.wait_for_close(), "{method_and_target}");
     }
     assert_eq!(endpoint.request_count(), 0);
 }
@@ -141,10 +153,12 @@
         let mut client = node.client();
         let headers = format!("{}Content-Length: {length}\r\n", common_headers(5000));
         client.write(request_head("POST /correct/1", &headers).as_bytes());
-        let response = client.receive().expect("an error");
+        let response = client
+            .receive()
+            .expect("node should send an error response");
         assert_client_error(&response, length);
         assert_ne!(response.status(), 408, "{length}");
-        assert!(client.is_closed(), "{length}");
+        assert!(client.wait_for_close(), "{length}");
     }
     assert_eq!(endpoint.request_count(), 0);
 }
@@ -153,59 +167,62 @@
 fn duplicate_header_is_rejected() {
     let endpoint = ScriptedEndpoint::serving("");
     let (node, _discovery) = start_node(&[&endpoint]);
-    for twice in [
+    for duplicate in [
         "X-Call-Id: 2\r\n",
         "X-Budget-Ms: 5000\r\n",
-        KEY,
+        KEY_HEADER,
         "X-Caller: acme\r\n",
     ] {
-        let headers = format!("{}{KEY}{twice}", common_headers(5000));
+        let headers = format!("{}{KEY_HEADER}{duplicate}", common_headers(5000));
         assert_eq!(
             node.client()
                 .request("POST /submit/1", &headers, b"sheet")
                 .status(),
             400,
-            "{twice}"
+            "{duplicate}"
         );
     }
     assert_eq!(endpoint.request_count(), 0);
 }
 
-/// The request in flight is served, and its id may be used again after its response.
+/// Requests with the call id of a request in flight are rejected, even if they are identical to it.
+/// The request in flight is served, and its call id may be used again after its response.
 #[test]
 fn duplicate_call_id_of_request_in_flight_is_rejected() {
-    let (gate_keeper, gate) = gate();
+    let (releaser, gate) = reply_gate();
     let endpoint = ScriptedEndpoint::start(move |message| {
         gate.wait();
         ok(&message.start_line)
     });
     let (node, _discovery) = start_node(&[&endpoint]);
-    let (mut open, headers) = (node.client(), common_headers(LONG_MS));
-    open.send("POST /correct/1f", &headers, b"sheet");
+    let (mut in_flight, headers) = (node.client(), common_headers(LONG_DEADLINE_MS));
+    in_flight.send("POST /correct/1f", &headers, b"sheet");
     endpoint.next_request();
-    for (start, body) in [
+    for (method_and_target, body) in [
         ("POST /correct/2e", &b"other"[..]),
         ("POST /correct/1f", b"sheet"),
         ("GET /read/3", b""),
     ] {
-        let mut other = node.client();
+        let mut duplicate = node.client();
         assert_eq!(
-            other.request(start, &headers, body).status(),
+            duplicate
+                .request(method_and_target, &headers, body)
+                .status(),
             409,
-            "{start}"
+            "{method_and_target}"
         );
-        assert!(other.is_closed());
+        assert!(duplicate.wait_for_close());
     }
-    gate_keeper.release_one();
-    let response = open.receive().expect("a response");
+    releaser.release_one();
+    let response = in_flight.receive().expect("node should send a response");
     assert_eq!(
         (response.status(), response.body),
         (200, b"POST /correct/1f HTTP/1.1".to_vec())
     );
-    // After the response, the id may be used again.
-    gate_keeper.release_one();
+    releaser.release_one();
     assert_eq!(
-        open.request("POST /correct/1f", &headers, b"sheet")
+        in_flight
+            .request("POST /correct/1f", &headers, b"sheet")
             .status(),
         200
     );
@@ -213,23 +230,23 @@
 }
 
 #[test]
-fn bad_configuration_is_reported_in_one_line() {
-    let discovery = "127.0.0.1:1".parse().expect("an address");
-    let good = NodeConfig::new(discovery, &NodeSettings::default()).to_json();
+fn invalid_configuration_is_reported_in_one_line() {
+    let discovery = "127.0.0.1:1".parse().expect("address should be valid");
+    let valid = NodeConfig::new(discovery, &NodeSettings::default()).to_json();
     let cases = [
         "not JSON".to_owned(),
         "{}".to_owned(),
-        good.replace("127.0.0.1:0", "somewhere"),
-        good.replace("8c1f30d27a5be964", "seed"),
-        good.replace(r#""sockets":1024"#, r#""sockets":10"#),
-        good.replace("free", "sometimes"),
-        good.replace(r#""Name":"correct""#, r#""Name":"read""#),
+        valid.replace("127.0.0.1:0", "somewhere"),
+        valid.replace("8c1f30d27a5be964", "seed"),
+        valid.replace(r#""sockets":1024"#, r#""sockets":10"#),
+        valid.replace("free", "sometimes"),
+        valid.replace(r#""Name":"correct""#, r#""Name":"read""#),
     ];
     for config in cases {
         let output = node_command(&config, None)
             .command
             .output()
-            .expect("it runs");
+            .expect("node should run");
         let log = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success(), "{config}");
         assert!(
--- a/crates/node/tests/node/connections.rs
+++ b/crates/node/tests/node/connections.rs
@@ -1,12 +1,12 @@
-//! Connections to endpoints: reuse, framing of responses, and their end.
+//! Connections to endpoints: reuse, response framing, and closing.
 
 use crate::support::client::Client;
 use crate::support::discovery::{delta, in_service, removed};
 use crate::support::endpoint::{ScriptedEndpoint, ScriptedReply, ok};
-use crate::support::gate::gate;
+use crate::support::gate::reply_gate;
 use crate::support::settings::NodeSettings;
 use crate::support::setup::{NodeSetup, start_node};
-use crate::support::wait::wait_for_idle_connection;
+use crate::support::wait::wait_for_connection_reuse;
 use std::collections::BTreeSet;
 
 /// The node closes an idle connection before the endpoint's own idle timeout.
@@ -20,18 +20,18 @@
     .start(&[&endpoint]);
     let mut client = node.client();
     for _ in 0..5 {
-        assert_eq!(client.request_read().status(), 200);
+        assert_eq!(client.request_idempotent().status(), 200);
         assert_eq!(endpoint.next_request().connection, 0);
-        wait_for_idle_connection();
+        wait_for_connection_reuse();
     }
     assert_eq!(endpoint.next_closed(), 0);
-    assert_eq!(client.request_read().status(), 200);
+    assert_eq!(client.request_idempotent().status(), 200);
     assert_eq!(endpoint.next_request().connection, 1);
 }
 
 #[test]
 fn connection_carries_one_request_at_a_time() {
-    let (gate_keeper, gate) = gate();
+    let (releaser, gate) = reply_gate();
     let endpoint = ScriptedEndpoint::start(move |message| {
         if message.start_line.contains("/correct/") {
             gate.wait();
@@ -39,42 +39,50 @@
         ok("")
     });
     let (node, _discovery) = start_node(&[&endpoint]);
-    // By responses in time the balancer learns that the endpoint can take two at once.
+    // From responses within the latency objective, the balancer learns that the endpoint can take
+    // two requests at once.
     let mut clients = [node.client(), node.client()];
     for _ in 0..40 {
-        assert_eq!(clients[0].request_read().status(), 200);
+        assert_eq!(clients[0].request_idempotent().status(), 200);
         assert_eq!(endpoint.next_request().connection, 0);
-        wait_for_idle_connection();
+        wait_for_connection_reuse();
     }
-    clients.iter_mut().for_each(Client::send_correct);
-    // Either request may be received first.
-    let seen = BTreeSet::from([
+    clients.iter_mut().for_each(Client::send_non_idempotent);
+    // The requests may arrive in either order.
+    let connections = BTreeSet::from([
         endpoint.next_request().connection,
         endpoint.next_request().connection,
     ]);
-    assert_eq!(seen, BTreeSet::from([0, 1]));
-    gate_keeper.release_one();
-    gate_keeper.release_one();
+    assert_eq!(connections, BTreeSet::from([0, 1]));
+    releaser.release_one();
+    releaser.release_one();
     for client in &mut clients {
-        assert_eq!(client.receive().expect("a response").status(), 200);
+        assert_eq!(
+            client
+                .receive()
+                .expect("node should send a response")
+                .status(),
+            200
+        );
     }
 }
 
 #[test]
 fn bytes_after_response_are_not_taken_as_response() {
-    // A second response in the same segment, and stray bytes: the connection must not be reused.
-    let copies: [&'static [u8]; 2] = [
+    // A second response and stray bytes, both in the same segment as the response. Neither
+    // connection may be reused.
+    let responses: [&'static [u8]; 2] = [
         b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngoodHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad",
         b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood\0\x01\x02",
     ];
-    for bytes in copies {
+    for bytes in responses {
         let endpoint = ScriptedEndpoint::start(move |_| ScriptedReply::Raw(bytes));
         let (node, _discovery) = start_node(&[&endpoint]);
         let mut client = node.client();
         for connection in 0..10 {
-            assert_eq!(client.request_correct().body, b"good");
+            assert_eq!(client.request_non_idempotent().body, b"good");
             assert_eq!(endpoint.next_request().connection, connection);
-            wait_for_idle_connection();
+            wait_for_connection_reuse();
         }
     }
 }
@@ -88,36 +96,37 @@
         )
     });
     let (node, _discovery) = start_node(&[&endpoint]);
-    (0..3).for_each(|_| assert_eq!(node.client().request_correct().body, b"good"));
+    (0..3).for_each(|_| assert_eq!(node.client().request_non_idempotent().body, b"good"));
 }
 
 #[test]
 fn connection_closed_while_idle_fails_no_request() {
-    // Each connection closes after its first response, and no header says so.
+    // The endpoint closes each connection after its first response without announcing it in a
+    // header.
     let endpoint = ScriptedEndpoint::start(|_| {
         ScriptedReply::CloseAfter(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_vec())
     });
     let (node, _discovery) = start_node(&[&endpoint]);
     for connection in 0..5 {
-        assert_eq!(node.client().request_correct().status(), 200);
+        assert_eq!(node.client().request_non_idempotent().status(), 200);
         assert_eq!(endpoint.next_closed(), connection);
-        // The node learns of the close before the next request.
-        wait_for_idle_connection();
+        // Gives the node time to notice the close before the next request.
+        wait_for_connection_reuse();
     }
 }
 
-/// State of a removed endpoint does not apply to the next one at its address.
+/// The connections of a removed endpoint must not be used for a new endpoint at the same address.
 #[test]
 fn new_endpoint_at_reused_address_gets_new_connection() {
     let endpoint = ScriptedEndpoint::serving("");
     let (node, mut discovery) = start_node(&[&endpoint]);
     let mut client = node.client();
     for number in 0..5 {
-        assert_eq!(client.request_read().status(), 200);
+        assert_eq!(client.request_idempotent().status(), 200);
         assert_eq!(
             endpoint.next_request().connection,
             number,
-            "a connection of the earlier endpoint is not used"
+            "a connection of the removed endpoint was used"
         );
         let (old, new) = (format!("s-{number}"), format!("s-{}", number + 1));
         let changes = [
--- a/crates/node/tests/node/discovery.rs
+++ b/crates/node/tests/node/discovery.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: the watch on the discovery service, and what its lists change.
+//! Service discovery: watches and polls of the endpoint list, and the effects of lists.
 
 use crate::support::config::NodeConfig;
 use crate::support::discovery::{
@@ -12,24 +12,24 @@
 use crate::support::wait::wait_until;
 use std::time::{Duration, Instant};
 
-/// Returns an entry with each member on a line of its own.
+/// Returns a list entry with each member on its own line.
 fn indented(entry: &str) -> String {
     entry.replace(',', ",\n      ")
 }
 
-/// The idle connection to the draining endpoint closes as well.
+/// The node also closes its idle connection to the draining endpoint.
 #[test]
 fn draining_endpoint_gets_no_new_request() {
     let [old, new] = ["old", "new"].map(ScriptedEndpoint::serving);
     let (node, mut discovery) = start_node(&[&old]);
-    assert_eq!(node.client().request_read().body, b"old");
+    assert_eq!(node.client().request_idempotent().body, b"old");
     discovery.send_list(&delta(
         9,
         &[draining("s-0", old.address), in_service("s-1", new.address)],
     ));
     old.next_closed();
     for _ in 0..10 {
-        assert_eq!(node.client().request_correct().body, b"new");
+        assert_eq!(node.client().request_non_idempotent().body, b"new");
     }
     assert_eq!(old.request_count(), 1);
 }
@@ -38,13 +38,13 @@
 fn moved_endpoint_is_reached_at_new_address() {
     let [old, new] = ["old", "new"].map(ScriptedEndpoint::serving);
     let (node, mut discovery) = start_node(&[&old]);
-    assert_eq!(node.client().request_read().body, b"old");
+    assert_eq!(node.client().request_idempotent().body, b"old");
     discovery.send_list(&delta(9, &[in_service("s-0", new.address)]));
     old.next_closed();
-    assert_eq!(node.client().request_read().body, b"new");
+    assert_eq!(node.client().request_idempotent().body, b"new");
 }
 
-/// The node serves from its present list meanwhile, and retries a call that fails.
+/// While the watch is down, the node serves from its current list. It retries calls that fail.
 #[test]
 fn broken_watch_resumes_from_last_index() {
     let [old, new] = ["old", "new"].map(ScriptedEndpoint::serving);
@@ -52,10 +52,10 @@
     let first_call = discovery.watch_start_line();
     assert!(
         first_call.contains("stream=1&index=7 "),
-        "the watch starts from the cached list: {first_call}"
+        "the first watch should start from the index of the cached list: {first_call}"
     );
     discovery.send_list(&delta(12, &[]));
-    node.client().request_read();
+    node.client().request_idempotent();
     discovery.break_watch();
     let mut resumed = discovery.next_call();
     assert!(
@@ -63,23 +63,23 @@
         "{}",
         resumed.start_line
     );
-    assert_eq!(node.client().request_read().body, b"old");
+    assert_eq!(node.client().request_idempotent().body, b"old");
     resumed.fail();
     discovery.accept_watch();
     discovery.send_list(&snapshot(13, &[in_service("s-1", new.address)]));
     old.next_closed();
-    assert_eq!(node.client().request_read().body, b"new");
+    assert_eq!(node.client().request_idempotent().body, b"new");
 }
 
 #[test]
 fn node_started_without_discovery_serves_from_cached_list() {
     let endpoint = ScriptedEndpoint::serving("cached");
-    let down = RefusingAddress::reserve();
-    let config = NodeConfig::new(down.address, &NodeSettings::default());
+    let unavailable = RefusingAddress::reserve();
+    let config = NodeConfig::new(unavailable.address, &NodeSettings::default());
     let cached = [in_service("s-0", endpoint.address)];
     let node = NodeProcess::start(&config.cached_endpoints(&cached));
-    wait_until(|| node.is_ready(), "readiness");
-    assert_eq!(node.client().request_read().body, b"cached");
+    wait_until(|| node.is_ready(), "the node to become ready");
+    assert_eq!(node.client().request_idempotent().body, b"cached");
 }
 
 #[test]
@@ -93,7 +93,7 @@
     assert!(!node.is_ready());
     discovery.open_watch(call);
     discovery.send_list(&snapshot(8, &[]));
-    wait_until(|| node.is_ready(), "readiness");
+    wait_until(|| node.is_ready(), "the node to become ready");
 }
 
 #[test]
@@ -107,9 +107,9 @@
 fn indented_list_is_parsed() {
     let [old, new] = ["old", "new"].map(ScriptedEndpoint::serving);
     let (node, mut discovery) = start_node(&[&old]);
-    assert_eq!(node.client().request_read().body, b"old");
+    assert_eq!(node.client().request_idempotent().body, b"old");
     let entries = [draining("s-0", old.address), in_service("s-1", new.address)];
-    // Each line is a chunk of its own: only the list itself shows where it ends.
+    // Each line is sent as a separate chunk, so the end of the list is known only from its JSON.
     let entries = entries.map(|entry| indented(&entry)).join(",\n    ");
     let head = "{\n  \"index\": 9,\n  \"snapshot\": false,\n  \"endpoints\": [";
     for line in format!("{head}\n    {entries}\n  ]\n}}").lines() {
@@ -117,7 +117,7 @@
     }
     discovery.send_list("");
     old.next_closed();
-    assert_eq!(node.client().request_read().body, b"new");
+    assert_eq!(node.client().request_idempotent().body, b"new");
 }
 
 #[test]
@@ -137,7 +137,7 @@
             in_service("s-0", endpoint.address),
         ],
     ));
-    assert_eq!(node.client().request_read().status(), 200);
+    assert_eq!(node.client().request_idempotent().status(), 200);
     node.wait_for_log("malformed endpoint list dropped");
     node.wait_for_log("malformed endpoint list entry dropped");
     node.wait_for_log("malformed load report");
@@ -154,10 +154,11 @@
     discovery.next_call().fail();
     discovery.accept_watch();
     discovery.send_list(&snapshot(8, &[in_service("s-0", endpoint.address)]));
-    assert_eq!(node.client().request_read().status(), 200);
+    assert_eq!(node.client().request_idempotent().status(), 200);
 }
 
-/// A node that has never had an endpoint list polls for one.
+/// A node that polls but has no cached list, or an empty one without entries, polls for its first
+/// list and is not ready before.
 #[test]
 fn node_without_cached_list_polls_for_one() {
     let endpoint = ScriptedEndpoint::serving("");
@@ -166,16 +167,19 @@
         let config = NodeConfig::new(discovery.address, &NodeSettings::polling());
         let node = NodeProcess::start(&config.cached_list(cached_list));
         let call = discovery.next_call();
-        assert!(!node.is_ready(), "it has no endpoint list");
+        assert!(
+            !node.is_ready(),
+            "a node without an endpoint list must not be ready"
+        );
         discovery.open_watch(call);
         discovery.send_list(&snapshot(8, &[in_service("s-0", endpoint.address)]));
-        wait_until(|| node.is_ready(), "readiness");
-        assert_eq!(node.client().request_read().status(), 200);
+        wait_until(|| node.is_ready(), "the node to become ready");
+        assert_eq!(node.client().request_idempotent().status(), 200);
     }
 }
 
-/// Where lists are watched, the grace period of a change begins when discovery is back and sends
-/// it.
+/// With a watch, the grace period of a change begins when discovery is available again and sends
+/// the change. The node must therefore call often enough during an outage to hear of it in time.
 #[test]
 fn watch_is_retried_within_grace_period_during_outage() {
     let endpoint = ScriptedEndpoint::serving("");
@@ -184,17 +188,17 @@
         ..NodeSettings::default()
     };
     let (_node, mut discovery) = NodeSetup::with_settings(settings).start(&[&endpoint]);
-    let down = Instant::now();
+    let outage_start = Instant::now();
     discovery.break_watch();
     for _ in 0..60 {
         discovery.next_call().fail();
     }
-    // Calls at intervals of half the grace period take 12 s; with a backoff of up to 2 s they would
-    // take over a minute.
+    // 60 calls at intervals of half the grace period take 12 s. With a backoff of up to 2 s they
+    // would take more than a minute.
     assert!(
-        down.elapsed() < Duration::from_secs(40),
-        "{:?}",
-        down.elapsed()
+        outage_start.elapsed() < Duration::from_secs(40),
+        "60 calls took {:?}",
+        outage_start.elapsed()
     );
 }
 
@@ -204,40 +208,44 @@
     let (node, mut discovery) = start_node(&[&drained, &kept]);
     discovery.send_list(&delta(12, &[draining("s-0", drained.address)]));
     discovery.send_list(&delta(11, &[in_service("s-0", drained.address)]));
-    // Lists are applied in order: once the last one shows, all before it have been applied.
+    // Lists are applied in order, so once the last one has taken effect, all earlier ones have too.
     discovery.send_list(&delta(13, &[in_service("s-2", new.address)]));
     discovery.send_list(&delta(14, &[draining("s-1", kept.address)]));
     let mut client = node.client();
-    wait_until(|| client.request_read().body == b"new", "the last list");
+    wait_until(
+        || client.request_idempotent().body == b"new",
+        "the last list to take effect",
+    );
     let before = drained.request_count();
-    (0..20).for_each(|_| assert_eq!(client.request_read().body, b"new"));
+    (0..20).for_each(|_| assert_eq!(client.request_idempotent().body, b"new"));
     assert_eq!(drained.request_count(), before);
 }
 
-/// A restarted process has its cached list and must not wait for discovery, which is silent or
-/// sends half a list.
+/// A restarted node has a cached list. It must not wait for a discovery service that does not
+/// respond or sends only part of a list.
 #[test]
 fn restarted_node_is_ready_despite_unresponsive_discovery() {
     for settings in [NodeSettings::default(), NodeSettings::polling()] {
-        for sends_half_a_list in [false, true] {
+        for sends_partial_list in [false, true] {
             let endpoint = ScriptedEndpoint::serving("cached");
             let discovery = DiscoveryServer::start();
             let config = NodeConfig::new(discovery.address, &settings);
             let cached = [in_service("s-0", endpoint.address)];
             let node = NodeProcess::start(&config.cached_endpoints(&cached));
-            // The reply to the call is half a list at most for as long as the test lasts.
+            // The call stays open until the end of the test, with no response or with part of a
+            // list.
             let mut call = discovery.next_call();
-            if sends_half_a_list {
+            if sends_partial_list {
                 call.start_stream();
                 call.write("20\r\n{\"index\":8,\"snapshot\":true,\"endp");
             }
-            wait_until(|| node.is_ready(), "readiness");
+            wait_until(|| node.is_ready(), "the node to become ready");
             assert_eq!(
                 node.count_log_lines("endpoint list watch failed"),
                 0,
-                "before the call of the node times out"
+                "the node should be ready before its call times out"
             );
-            assert_eq!(node.client().request_read().body, b"cached");
+            assert_eq!(node.client().request_idempotent().body, b"cached");
             drop(call);
         }
     }
@@ -248,7 +256,7 @@
     const ENDPOINTS: usize = 1024;
     let endpoints = [0, 1].map(|_| ScriptedEndpoint::serving(""));
     let (node, mut discovery) = start_node(&[]);
-    // Indented lists are the longest. All endpoints are at the same two addresses.
+    // Indented lists are the longest. All endpoints share two addresses.
     let name = |number: usize| format!("s-{number:08x}");
     let address = |number: usize| endpoints[number % 2].address;
     let entries: Vec<_> = (0..ENDPOINTS)
@@ -256,8 +264,8 @@
         .collect();
     discovery.send_list(&snapshot(9, &entries));
     let mut client = node.client();
-    (0..50).for_each(|_| assert_eq!(client.request_read().status(), 200));
-    // All but the last endpoint drain. If it had been dropped from the list, none would serve.
+    (0..50).for_each(|_| assert_eq!(client.request_idempotent().status(), 200));
+    // All endpoints but the last drain. If the last entry had been lost, no endpoint would serve.
     let draining: Vec<_> = (0..ENDPOINTS - 1)
         .map(|number| draining(&name(number), address(number)))
         .collect();
@@ -267,7 +275,7 @@
     wait_until(
         || {
             let count = endpoints[0].request_count();
-            (0..20).for_each(|_| assert_eq!(client.request_read().status(), 200));
+            (0..20).for_each(|_| assert_eq!(client.request_idempotent().status(), 200));
             endpoints[0].request_count() == count
         },
         "the last endpoint to serve alone",
--- a/crates/node/tests/node/forwarding.rs
+++ b/crates/node/tests/node/forwarding.rs
@@ -1,4 +1,4 @@
-//! Requests forwarded to endpoints: what is passed on, what is retried, and what ends an attempt.
+//! Forwarding of requests to endpoints: message content, retries, time-outs and hedging.
 
 use crate::support::client::common_headers;
 use crate::support::discovery::{in_service, snapshot};
@@ -14,7 +14,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Asserts that a response neither serves nor sheds a request that may have run.
+/// Asserts that a response neither reports success nor sheds the request, which may have run.
 fn assert_failed(response: &Message, case: &str) {
     assert!(
         ![200, 429, 503].contains(&response.status()),
@@ -22,12 +22,12 @@
     );
 }
 
-/// Asserts that a request that is not idempotent fails, and is not retried, if its first attempt
-/// ends like this.
-fn assert_fails_without_retry(case: usize, ending: fn() -> ScriptedReply) {
-    let (one, two) = endpoint_pair_with_first_reply(ending);
+/// Asserts that a request that is not idempotent fails without a retry if the endpoint replies to
+/// the first attempt with `first_reply`.
+fn assert_fails_without_retry(case: usize, first_reply: fn() -> ScriptedReply) {
+    let (one, two) = endpoint_pair_with_first_reply(first_reply);
     let (node, _discovery) = start_node(&[&one, &two]);
-    let response = node.client().request_correct();
+    let response = node.client().request_non_idempotent();
     assert_failed(&response, &format!("case {case}"));
     assert_eq!(one.request_count() + two.request_count(), 1, "case {case}");
 }
@@ -47,41 +47,51 @@
         .client()
         .request("POST /submit/7f3a?x=1%202", &headers, b"body\0");
     assert_eq!((response.status(), response.body), (200, vec![0, 255, 10]));
-    let seen = endpoint.next_request().message;
-    assert_eq!(seen.start_line, "POST /submit/7f3a?x=1%202 HTTP/1.1");
+    let received = endpoint.next_request().message;
+    assert_eq!(received.start_line, "POST /submit/7f3a?x=1%202 HTTP/1.1");
     assert_eq!(
-        (seen.body.as_slice(), seen.header("idempotency-key")),
+        (received.body.as_slice(), received.header("idempotency-key")),
         (&b"body\0"[..], Some("5c0f6e"))
     );
-    assert!(headers.contains(seen.header("x-call-id").expect("an id")));
-    let budget: u64 = seen
+    assert!(
+        headers.contains(
+            received
+                .header("x-call-id")
+                .expect("request should have a call id")
+        )
+    );
+    let budget: u64 = received
         .header("x-budget-ms")
-        .expect("a budget")
+        .expect("request should have a budget")
         .parse()
-        .expect("a number");
+        .expect("budget should be a number");
     assert!((1..=5000).contains(&budget), "{budget}");
 }
 
 #[test]
 fn request_that_may_have_run_is_retried_only_if_idempotent() {
-    let endings: [fn() -> ScriptedReply; 6] = [
+    let first_replies: [fn() -> ScriptedReply; 6] = [
         || response("500 Oops", "", b""),
-        // Without X-Rejected the request may have run.
+        // Without the header X-Rejected, the request may have run.
         || response("503 Busy", "", b""),
         || ScriptedReply::CloseAfter(vec![]),
         || ScriptedReply::CloseAfter(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_vec()),
         || ScriptedReply::CloseAfter(b"no HTTP at all\r\n\r\n".to_vec()),
         || response("200 OK", "", &[b'x'; MAX_BODY_BYTES + 1]),
     ];
-    for (case, ending) in endings.into_iter().enumerate() {
-        assert_fails_without_retry(case, ending);
-        let (one, two) = endpoint_pair_with_first_reply(ending);
+    for (case, first_reply) in first_replies.into_iter().enumerate() {
+        assert_fails_without_retry(case, first_reply);
+        let (one, two) = endpoint_pair_with_first_reply(first_reply);
         let (node, _discovery) = start_node(&[&one, &two]);
-        assert_eq!(node.client().request_read().body, b"second", "case {case}");
+        assert_eq!(
+            node.client().request_idempotent().body,
+            b"second",
+            "case {case}"
+        );
     }
 }
 
-/// Such a response ends with its connection (RFC 9112, section 6.3).
+/// A response without Content-Length ends with its connection (RFC 9112, section 6.3).
 #[test]
 fn response_without_length_is_complete_at_orderly_close() {
     for head in [
@@ -91,32 +101,32 @@
     ] {
         for length in [0, 5, MAX_BODY_BYTES] {
             let body = vec![b'x'; length];
-            let whole = [head.as_bytes(), &body].concat();
+            let response = [head.as_bytes(), &body].concat();
             let endpoint =
-                ScriptedEndpoint::start(move |_| ScriptedReply::CloseAfter(whole.clone()));
+                ScriptedEndpoint::start(move |_| ScriptedReply::CloseAfter(response.clone()));
             let (node, _discovery) = start_node(&[&endpoint]);
             let mut client = node.client();
             for _ in 0..2 {
-                let response = client.request_correct();
-                assert_eq!(response.status(), 200, "{head:?} and {length} bytes");
+                let response = client.request_non_idempotent();
+                assert_eq!(response.status(), 200, "{head:?}, body of {length} bytes");
                 assert_eq!(response.body, body);
             }
         }
     }
 }
 
-/// A reset is no end of a response, and neither is a body over the size limit. The request may have
-/// run, and is not retried.
+/// A response without Content-Length is incomplete if its connection is reset or its body exceeds
+/// the size limit. The request may have run and must not be retried.
 #[test]
 fn response_without_length_fails_at_reset_or_size_limit() {
     const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\n\r\n";
-    let endings: [fn() -> ScriptedReply; 2] = [
+    let first_replies: [fn() -> ScriptedReply; 2] = [
         || ScriptedReply::ResetAfter([HEAD, b"half"].concat()),
         || ScriptedReply::CloseAfter([HEAD, &[b'x'; MAX_BODY_BYTES + 1]].concat()),
     ];
-    for (case, ending) in endings.into_iter().enumerate() {
+    for (case, first_reply) in first_replies.into_iter().enumerate() {
         for _ in 0..5 {
-            assert_fails_without_retry(case, ending);
+            assert_fails_without_retry(case, first_reply);
         }
     }
 }
@@ -126,7 +136,11 @@
     for status in ["503 Full", "504 Over"] {
         let (one, two) = endpoint_pair_with_first_reply(move || rejection(status));
         let (node, _discovery) = start_node(&[&one, &two]);
-        assert_eq!(node.client().request_correct().body, b"second", "{status}");
+        assert_eq!(
+            node.client().request_non_idempotent().body,
+            b"second",
+            "{status}"
+        );
     }
     let refusing = RefusingAddress::reserve();
     let endpoint = ScriptedEndpoint::serving("here");
@@ -139,7 +153,7 @@
         ],
     ));
     for _ in 0..8 {
-        let response = node.client().request_correct();
+        let response = node.client().request_non_idempotent();
         assert_eq!(
             (response.status(), response.body.as_slice()),
             (200, &b"here"[..])
@@ -151,7 +165,7 @@
 fn shed_request_gets_retry_after_header() {
     let endpoint = ScriptedEndpoint::start(|_| rejection("503 Full"));
     let (node, _discovery) = start_node(&[&endpoint]);
-    let response = node.client().request_correct();
+    let response = node.client().request_non_idempotent();
     assert_eq!(response.status(), 503);
     assert_eq!(response.header("retry-after"), Some("1.500"));
 }
@@ -165,21 +179,22 @@
     let response = client.request("POST /correct/1", &common_headers(600), b"sheet");
     assert!(
         sent.elapsed() >= Duration::from_millis(300),
-        "the node waits for the response"
+        "the node should wait for the response"
     );
-    // The request may still run; a status that sheds it would promise that it never did.
-    assert_failed(&response, "timed out");
+    // The request may still run, so the node must not send a status that states that it did not.
+    assert_failed(&response, "timed-out attempt");
     endpoint.next_closed();
 }
 
-/// The first attempt is cancelled when the hedged one is served.
+/// If an endpoint does not respond to an attempt, the node sends a second, hedged attempt and
+/// cancels the first one when the second is served.
 #[test]
 fn silent_attempt_is_hedged_and_then_cancelled() {
-    let silent = Arc::new(AtomicBool::new(false));
+    let skip_next_response = Arc::new(AtomicBool::new(false));
     let start = || {
-        let silent = silent.clone();
+        let skip_next_response = skip_next_response.clone();
         ScriptedEndpoint::start(move |message| {
-            if silent.swap(false, Ordering::SeqCst) {
+            if skip_next_response.swap(false, Ordering::SeqCst) {
                 ScriptedReply::NoResponse
             } else {
                 ok(&message.start_line)
@@ -193,17 +208,17 @@
         ..NodeSettings::default()
     })
     .start(&[&one, &two]);
-    // From the first responses the node learns how long an attempt may take before it is hedged.
+    // From these responses, the node learns how long to wait before it hedges an attempt.
     let mut client = node.client();
-    (0..150).for_each(|_| assert_eq!(client.request_read().status(), 200));
+    (0..150).for_each(|_| assert_eq!(client.request_idempotent().status(), 200));
     let before = one.request_count() + two.request_count();
-    // On a slow machine the first requests may have been hedged too.
-    let _ = (one.has_closed_connection(), two.has_closed_connection());
-    silent.store(true, Ordering::SeqCst);
-    assert_eq!(client.request_read().status(), 200);
+    // On a slow machine, these requests may have been hedged too. Discard the events so far.
+    let _ = (one.take_closed_connection(), two.take_closed_connection());
+    skip_next_response.store(true, Ordering::SeqCst);
+    assert_eq!(client.request_idempotent().status(), 200);
     assert!(one.request_count() + two.request_count() >= before + 2);
     wait_until(
-        || one.has_closed_connection() || two.has_closed_connection(),
-        "the close of the cancelled attempt's connection",
+        || one.take_closed_connection() || two.take_closed_connection(),
+        "the connection of the cancelled attempt to close",
     );
 }
--- a/crates/node/tests/node/limits.rs
+++ b/crates/node/tests/node/limits.rs
@@ -1,39 +1,40 @@
-//! The limits of descriptors and memory.
+//! The limits of file descriptors and memory.
 
 use crate::support::client::{Client, common_headers, request_head};
 use crate::support::discovery::{delta, in_service, removed, snapshot};
 use crate::support::endpoint::{ScriptedEndpoint, count_requests, ok};
-use crate::support::gate::gate;
+use crate::support::gate::reply_gate;
 use crate::support::process::NodeProcess;
 use crate::support::settings::{MAX_BODY_BYTES, NodeSettings};
 use crate::support::setup::NodeSetup;
 use crate::support::wait::wait_until;
 
-/// The descriptors of the limit that the node keeps for itself.
+/// The number of descriptors within the limit that the node reserves for uses other than
+/// connections.
 const RESERVED_DESCRIPTORS: u32 = 48;
 const TEN_MINUTES_MS: u64 = 600_000;
-/// The growth that is not counted as a leak.
-const MOST_GROWTH_KIB: usize = 700;
+/// The maximum growth of memory that does not count as a leak.
+const MAX_GROWTH_KIB: usize = 700;
 
 #[test]
 fn idle_client_connection_is_evicted_for_new_client() {
     let endpoint = ScriptedEndpoint::serving("");
-    // Two connections for each side.
+    // Leaves two client connections and two endpoint connections.
     let (node, _discovery) = NodeSetup::default()
         .sockets(RESERVED_DESCRIPTORS + 4)
         .start(&[&endpoint]);
     let mut clients = Vec::new();
     for _ in 0..20 {
         let mut client = node.client();
-        assert_eq!(client.request_read().status(), 200);
+        assert_eq!(client.request_idempotent().status(), 200);
         clients.push(client);
     }
-    assert!(clients[0].is_closed());
+    assert!(clients[0].wait_for_close());
 }
 
 #[test]
 fn waiting_client_replaces_first_idle_connection() {
-    let (gate_keeper, gate) = gate();
+    let (releaser, gate) = reply_gate();
     let endpoints = [0, 1].map(|_| {
         let gate = gate.clone();
         ScriptedEndpoint::start(move |message| {
@@ -47,93 +48,107 @@
         .sockets(RESERVED_DESCRIPTORS + 4)
         .start(&endpoints.each_ref());
     let mut busy = [node.client(), node.client()];
-    busy.iter_mut().for_each(Client::send_correct);
+    busy.iter_mut().for_each(Client::send_non_idempotent);
     wait_until(
         || count_requests(&endpoints) == 2,
-        "both requests at endpoints",
+        "both requests to reach endpoints",
     );
     let mut waiting = node.client();
     waiting.send("GET /health/ready", "", b"");
-    // The first response frees no connection, it only leaves one idle.
-    gate_keeper.release_one();
-    assert_eq!(waiting.receive().expect("a response").status(), 200);
-    gate_keeper.release_one();
+    // The first response only makes its client connection idle. The node must evict that connection
+    // to accept the waiting client.
+    releaser.release_one();
+    assert_eq!(
+        waiting
+            .receive()
+            .expect("node should send a response")
+            .status(),
+        200
+    );
+    releaser.release_one();
     for client in &mut busy {
-        assert_eq!(client.receive().expect("a response").status(), 200);
+        assert_eq!(
+            client
+                .receive()
+                .expect("node should send a response")
+                .status(),
+            200
+        );
     }
 }
 
 #[test]
 fn node_out_of_descriptors_recovers_when_some_are_freed() {
     let endpoint = ScriptedEndpoint::serving("");
-    // So few that not even what the node keeps for itself is left.
+    // Fewer than the node needs for uses other than connections.
     let (node, _discovery) = NodeSetup::default().open_file_limit(14).start(&[&endpoint]);
-    let crowd: Vec<Client> = (0..60).map(|_| node.client()).collect();
+    let clients: Vec<Client> = (0..60).map(|_| node.client()).collect();
     node.wait_for_log("cannot accept");
-    drop(crowd);
+    drop(clients);
     wait_until(
-        || node.client().request_read().status() == 200,
-        "service after the crowd",
+        || node.client().request_idempotent().status() == 200,
+        "service after the clients have disconnected",
     );
 }
 
-/// The system allows fewer descriptors than the configuration, and idle clients stay connected. The
-/// node keeps descriptors for discovery, endpoints and new clients.
+/// If the system allows fewer descriptors than the configuration and more idle clients connect than
+/// there are descriptors, the node must still be able to connect to discovery and endpoints and to
+/// accept new clients.
 #[test]
 fn idle_clients_do_not_exhaust_descriptors() {
     let [old, new] = ["old", "new"].map(ScriptedEndpoint::serving);
     let (node, mut discovery) = NodeSetup::default().open_file_limit(40).start(&[&old]);
-    assert_eq!(node.client().request_read().body, b"old");
+    assert_eq!(node.client().request_idempotent().body, b"old");
     // While discovery is down, more idle clients connect than there are descriptors.
     discovery.break_watch();
-    let mut down = discovery.next_call();
-    let crowd: Vec<Client> = (0..120).map(|_| node.client()).collect();
+    let mut pending_call = discovery.next_call();
+    let idle_clients: Vec<Client> = (0..120).map(|_| node.client()).collect();
     assert!(
         node.is_ready(),
-        "a client that connects after the crowd is served"
+        "a client that connects after the idle ones should be served"
     );
-    down.fail();
-    drop(down);
-    // The next call to discovery and the connection to the new endpoint take a descriptor each.
+    pending_call.fail();
+    drop(pending_call);
+    // The next call to discovery and the connection to the new endpoint need a descriptor each.
     discovery.accept_watch();
     discovery.send_list(&snapshot(9, &[in_service("s-1", new.address)]));
     wait_until(
-        || node.client().request_read().body == b"new",
+        || node.client().request_idempotent().body == b"new",
         "a response from the new endpoint",
     );
     assert!(node.is_ready());
     assert_eq!(node.count_log_lines("cannot accept"), 0);
-    drop(crowd);
+    drop(idle_clients);
 }
 
 #[test]
 fn bodies_stay_within_memory_budget() {
     let endpoint = ScriptedEndpoint::serving("");
-    // 10 MB leave room for 32 clients, and for 16 bodies of the longest.
+    // 10 MB are enough for 32 clients and for 16 bodies of the maximum size.
     let (node, _discovery) = NodeSetup::default()
         .limits(r#""memory_mb":10"#)
         .start(&[&endpoint]);
-    let send_half = |node: &NodeProcess| {
+    let send_partial_body = |node: &NodeProcess| {
         let mut client = node.client();
         let length = format!("Content-Length: {MAX_BODY_BYTES}\r\n");
         let head = request_head("POST /correct/1", &(length + &common_headers(5000)));
         client.write(format!("{head}half").as_bytes());
         client
     };
-    let mut halves: Vec<Client> = (0..17).map(|_| send_half(&node)).collect();
-    let mut responses = halves
+    let mut clients: Vec<Client> = (0..17).map(|_| send_partial_body(&node)).collect();
+    let mut responses = clients
         .iter_mut()
-        .map(|client| client.receive().expect("a response"));
+        .map(|client| client.receive().expect("node should send a response"));
     let shed = responses
         .by_ref()
         .find(|response| response.status() != 408)
-        .expect("one without memory");
+        .expect("one request should be shed for lack of memory");
     assert_eq!(
         (shed.status(), shed.header("retry-after")),
         (503, Some("1.500"))
     );
     assert!(responses.all(|response| response.status() == 408));
-    // The memory is available again.
+    // The memory of the bodies has been freed.
     assert_eq!(
         node.client()
             .request(
@@ -146,8 +161,8 @@
     );
 }
 
-/// Over a day there are ever new connections, ids, keys and endpoints, most of these at the
-/// addresses of removed ones. None of them may leave memory behind.
+/// Over a day, a node keeps seeing new connections, call ids, keys and endpoints, most of the
+/// endpoints at addresses of removed ones. It must free the memory that each of them took.
 #[test]
 fn memory_does_not_grow_with_past_traffic() {
     let endpoint = ScriptedEndpoint::serving("");
@@ -155,7 +170,7 @@
         NodeSetup::with_settings(NodeSettings::with_objective(TEN_MINUTES_MS)).start(&[&endpoint]);
     let mut client = node.client();
     let mut number = 0;
-    let mut round = |requests: usize| {
+    let mut send_requests = |requests: usize| {
         for i in 0..requests {
             if i % 4 == 0 {
                 client = node.client();
@@ -169,7 +184,7 @@
                 ];
                 discovery.send_list(&delta(9 + number, &changes));
             }
-            // State that is kept until the deadline would be kept for the whole test.
+            // The deadline is so long that state kept until then would be kept for the whole test.
             let response = client.request(
                 &format!("POST /correct/{number}{i}"),
                 &common_headers(TEN_MINUTES_MS),
@@ -179,10 +194,10 @@
         }
         node.resident_memory_kib()
     };
-    let before = round(2000);
-    let after = round(6000);
+    let before = send_requests(2000);
+    let after = send_requests(6000);
     assert!(
-        after < before + MOST_GROWTH_KIB,
-        "{before} KiB, and later {after} KiB"
+        after < before + MAX_GROWTH_KIB,
+        "resident memory grew from {before} KiB to {after} KiB"
     );
 }
--- a/crates/node/tests/node/main.rs
+++ b/crates/node/tests/node/main.rs
@@ -1,5 +1,5 @@
-//! The node as a process on loopback sockets, between scripted clients, endpoints and a discovery
-//! service.
+//! End-to-end tests. Each starts the node as a process and connects it over loopback to scripted
+//! clients, endpoints and a discovery service.
 
 mod bad_input;
 mod client_disconnect;
--- a/crates/node/tests/node/shutdown.rs
+++ b/crates/node/tests/node/shutdown.rs
@@ -1,18 +1,18 @@
-//! Graceful shutdown: requests in flight get their final response, idle connections close.
+//! Graceful shutdown: requests in flight get their final response, and idle connections are closed.
 
 use crate::support::client::{common_headers, request_head};
 use crate::support::endpoint::{ScriptedEndpoint, count_requests, ok};
-use crate::support::gate::gate;
-use crate::support::settings::{LONG_MS, NodeSettings};
+use crate::support::gate::reply_gate;
+use crate::support::settings::{LONG_DEADLINE_MS, NodeSettings};
 use crate::support::setup::{NodeSetup, start_node};
 use crate::support::wait::wait_until;
 
-/// A node that drains still accepts requests for a while, is not ready, and closes idle
-/// connections.
+/// After SIGTERM, the node is not ready, but accepts new connections and requests for a while. It
+/// closes idle connections, and every other connection after its response.
 #[test]
 fn terminated_node_finishes_requests_in_flight_and_exits() {
-    let (gate_keeper, gate) = gate();
-    // One for each request: a new node has one attempt in flight at each endpoint.
+    let (releaser, gate) = reply_gate();
+    // One endpoint for each request, because a new node allows each endpoint one attempt in flight.
     let endpoints = [0, 1, 2].map(|_| {
         let gate = gate.clone();
         ScriptedEndpoint::start(move |_| {
@@ -21,63 +21,74 @@
         })
     });
     let (mut node, _discovery) = start_node(&endpoints.each_ref());
-    let (mut in_flight, mut kept, mut idle) = (node.client(), node.client(), node.client());
-    assert_eq!(kept.request("GET /health/ready", "", b"").status(), 200);
+    let (mut in_flight, mut kept_open, mut idle) = (node.client(), node.client(), node.client());
+    assert_eq!(
+        kept_open.request("GET /health/ready", "", b"").status(),
+        200
+    );
     assert_eq!(idle.request("GET /health/ready", "", b"").status(), 200);
-    in_flight.send_correct();
+    in_flight.send_non_idempotent();
     wait_until(
         || count_requests(&endpoints) == 1,
-        "the request at an endpoint",
+        "the first request to reach an endpoint",
     );
     node.terminate();
     node.wait_for_log("shutdown requested");
-    // The node still accepts and serves requests, but is not ready.
     assert!(!node.is_ready());
     let mut late = node.client();
-    late.send_correct();
-    kept.send_correct();
+    late.send_non_idempotent();
+    kept_open.send_non_idempotent();
     wait_until(
         || count_requests(&endpoints) == 3,
-        "all requests at endpoints",
+        "all requests to reach endpoints",
     );
-    (0..3).for_each(|_| gate_keeper.release_one());
-    for client in [&mut in_flight, &mut late, &mut kept] {
+    (0..3).for_each(|_| releaser.release_one());
+    for client in [&mut in_flight, &mut late, &mut kept_open] {
         let response = client
             .receive()
-            .expect("an admitted request has a response");
+            .expect("admitted request should get a response");
         assert_eq!(
             (response.status(), response.header("connection")),
             (200, Some("close"))
         );
-        assert!(client.is_closed());
+        assert!(client.wait_for_close());
     }
-    assert!(idle.is_closed());
+    assert!(idle.wait_for_close());
     assert_eq!(node.wait_for_exit().code(), Some(0));
 }
 
-/// Idle connections are closed at shutdown, but one with a partly received request is not idle.
+/// A connection on which the node has received part of a request is not idle, so that the node must
+/// not close it at shutdown without a response.
 #[test]
 fn partly_received_request_is_shed_at_shutdown() {
     let endpoint = ScriptedEndpoint::serving("");
     let (mut node, _discovery) = start_node(&[&endpoint]);
-    let (mut half, mut idle, mut new) = (node.client(), node.client(), node.client());
+    let (mut second_request, mut idle, mut first_request) =
+        (node.client(), node.client(), node.client());
     assert_eq!(
-        (half.request_read().status(), idle.request_read().status()),
+        (
+            second_request.request_idempotent().status(),
+            idle.request_idempotent().status()
+        ),
         (200, 200)
     );
-    let headers = format!("Content-Length: 5\r\n{}", common_headers(LONG_MS));
+    let headers = format!("Content-Length: 5\r\n{}", common_headers(LONG_DEADLINE_MS));
     let request = request_head("POST /correct/1", &headers);
-    let (begun, rest) = request.split_at(30);
-    half.write(begun.as_bytes());
-    new.write(begun.as_bytes());
+    let (first_part, rest) = request.split_at(30);
+    second_request.write(first_part.as_bytes());
+    first_request.write(first_part.as_bytes());
     node.terminate();
-    assert!(idle.is_closed(), "idle connections are closed now");
-    // The request is complete too late to be served before the node must exit, and is shed.
-    for client in [&mut half, &mut new] {
+    assert!(
+        idle.wait_for_close(),
+        "idle connections should be closed at once"
+    );
+    // The rest arrives too late for the request to be served before the node must exit, so the node
+    // sheds it.
+    for client in [&mut second_request, &mut first_request] {
         client.write(format!("{rest}sheet").as_bytes());
         let response = client
             .receive()
-            .expect("a final response to a request that the node has read");
+            .expect("partly received request should get a final response");
         assert_eq!(
             (response.status(), response.header("connection")),
             (503, Some("close"))
@@ -88,7 +99,9 @@
     assert_eq!(endpoint.request_count(), 2);
 }
 
-/// A client whose deadline is after that of its class is owed a final response all the same.
+/// Some time after SIGTERM, namely after the longest deadline of any class, the node ends the
+/// requests that are still in flight. A client that waits for longer than that must still get a
+/// final response. A second SIGTERM changes nothing.
 #[test]
 fn request_in_flight_at_forced_exit_gets_response() {
     let endpoint = ScriptedEndpoint::silent();
@@ -99,7 +112,7 @@
     };
     let (mut node, _discovery) = NodeSetup::with_settings(settings).start(&[&endpoint]);
     let mut client = node.client();
-    client.send_correct();
+    client.send_non_idempotent();
     endpoint.next_request();
     node.terminate();
     node.wait_for_log("shutdown requested");
@@ -107,7 +120,7 @@
     assert_eq!(
         client
             .receive()
-            .expect("a response before the end")
+            .expect("request should get a response before the node exits")
             .status(),
         504
     );
--- a/crates/node/tests/node/slow_clients.rs
+++ b/crates/node/tests/node/slow_clients.rs
@@ -1,73 +1,84 @@
-//! Clients that send no whole request, beside clients that do.
+//! Clients that send incomplete requests or none, and their effect on other clients.
 
 use crate::support::client::{Client, common_headers, request_head};
 use crate::support::endpoint::ScriptedEndpoint;
-use crate::support::settings::LONG_MS;
+use crate::support::settings::LONG_DEADLINE_MS;
 use crate::support::setup::{NodeSetup, start_node};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// A head that does not end.
-const HALF_HEAD: &str = "POST /correct/1 HTTP/1.1\r\nHost: service.internal\r\nX-Call-Id: 1";
+/// The first part of a request head.
+const INCOMPLETE_HEAD: &str = "POST /correct/1 HTTP/1.1\r\nHost: service.internal\r\nX-Call-Id: 1";
 
 const LINE_END: &str = "\r\n";
 
-/// Longer than a client may take for a request.
-const STOPPED: Duration = Duration::from_millis(2500);
+/// How long the process is stopped: longer than a client may take to send a request.
+const STOP_DURATION: Duration = Duration::from_millis(2500);
 
-/// The limit of the node is 3 s; the rest is for a slow machine.
-const LONGEST_TIMEOUT: Duration = Duration::from_secs(10);
+/// The node closes slow clients within 3 s. The rest is a margin for slow machines.
+const MAX_TIMEOUT: Duration = Duration::from_secs(10);
 
 #[test]
 fn incomplete_request_times_out_and_idle_connection_does_not() {
     let endpoint = ScriptedEndpoint::serving("");
     let (node, _discovery) = start_node(&[&endpoint]);
     let mut idle = node.client();
-    assert_eq!(idle.request_read().status(), 200);
-    let mut later = node.client();
-    assert_eq!(later.request_read().status(), 200);
+    assert_eq!(idle.request_idempotent().status(), 200);
+    let mut slow_second_request = node.client();
+    assert_eq!(slow_second_request.request_idempotent().status(), 200);
     let connected = Instant::now();
-    let (mut silent, mut head, mut body) = (node.client(), node.client(), node.client());
-    head.write(HALF_HEAD.as_bytes());
+    let (mut silent, mut slow_head, mut slow_body) = (node.client(), node.client(), node.client());
+    slow_head.write(INCOMPLETE_HEAD.as_bytes());
     let body_headers = format!("Content-Length: 5\r\n{}", common_headers(5000));
     let body_head = request_head("POST /correct/1", &body_headers);
-    body.write(format!("{body_head}hal").as_bytes());
-    later.write(HALF_HEAD.as_bytes());
-    assert!(silent.is_closed() && head.is_closed() && later.is_closed());
-    // A client whose head was complete gets a response.
-    assert_eq!(body.receive().map(|response| response.status()), Some(408));
-    assert!(body.is_closed());
+    slow_body.write(format!("{body_head}hal").as_bytes());
+    slow_second_request.write(INCOMPLETE_HEAD.as_bytes());
+    assert!(silent.wait_for_close());
+    assert!(slow_head.wait_for_close());
+    assert!(slow_second_request.wait_for_close());
+    // Only a client that has sent a complete head gets a response.
+    assert_eq!(
+        slow_body.receive().map(|response| response.status()),
+        Some(408)
+    );
+    assert!(slow_body.wait_for_close());
     assert!(
-        connected.elapsed() < LONGEST_TIMEOUT,
-        "{:?}",
+        connected.elapsed() < MAX_TIMEOUT,
+        "the clients were closed after {:?}",
         connected.elapsed()
     );
-    assert_eq!(idle.request_read().status(), 200);
+    assert_eq!(idle.request_idempotent().status(), 200);
     assert_eq!(endpoint.request_count(), 3);
 }
 
-/// The process is stopped for longer than a client may take; the client was in time.
+/// The process is stopped for longer than a client may take to send a request. The last bytes of
+/// the requests arrived in time, but the node can read them only after its timeout.
 #[test]
 fn request_received_while_process_stopped_gets_response() {
     let endpoint = ScriptedEndpoint::serving("");
     let (node, _discovery) = start_node(&[&endpoint]);
     let mut clients: Vec<Client> = (0..20).map(|_| node.client()).collect();
     for client in &mut clients {
-        let head = request_head("POST /correct/1", &common_headers(LONG_MS));
-        let without_end = head.strip_suffix(LINE_END).expect("an empty line");
+        let head = request_head("POST /correct/1", &common_headers(LONG_DEADLINE_MS));
+        let without_end = head
+            .strip_suffix(LINE_END)
+            .expect("head should end with an empty line");
         client.write(without_end.as_bytes());
     }
-    assert!(node.is_ready(), "the node has read the heads");
+    assert!(
+        node.is_ready(),
+        "node should be ready and have read the heads"
+    );
     node.signal("-STOP");
     clients
         .iter_mut()
         .for_each(|client| client.write(LINE_END.as_bytes()));
-    sleep(STOPPED);
+    sleep(STOP_DURATION);
     node.signal("-CONT");
     for client in &mut clients {
         assert!(
             client.receive().is_some(),
-            "a response, whatever its status"
+            "request should get a response, whatever its status"
         );
     }
 }
@@ -75,24 +86,24 @@
 #[test]
 fn silent_clients_do_not_displace_active_clients() {
     let endpoint = ScriptedEndpoint::serving("");
-    // Six clients at most.
+    // With 60 sockets, the node holds at most six client connections.
     let (node, _discovery) = NodeSetup::default().sockets(60).start(&[&endpoint]);
     let mut active = [node.client(), node.client()];
     for client in &mut active {
-        assert_eq!(client.request_read().status(), 200);
+        assert_eq!(client.request_idempotent().status(), 200);
     }
-    let crowd: Vec<Client> = (0..100).map(|_| node.client()).collect();
+    let silent: Vec<Client> = (0..100).map(|_| node.client()).collect();
     assert_eq!(
-        node.client().request_read().status(),
+        node.client().request_idempotent().status(),
         200,
-        "a new one among the crowd"
+        "a client that connects after the silent ones"
     );
     for client in &mut active {
         assert_eq!(
-            client.request_read().status(),
+            client.request_idempotent().status(),
             200,
-            "a client that was there before"
+            "a client that connected before the silent ones"
         );
     }
-    drop(crowd);
+    drop(silent);
 }
--- a/crates/node/tests/node/soak.rs
+++ b/crates/node/tests/node/soak.rs
@@ -1,6 +1,6 @@
-//! Restarts under load: clients send requests on open connections until the node is killed, as
-//! early as the operators may kill it. Meanwhile endpoints fail in many ways, the node gets series
-//! of signals, and in half of the runs there is a crowd of silent clients.
+//! Restarts under load. Clients send requests on persistent connections until the node is killed,
+//! which happens as early as operators may do it. Meanwhile endpoints fail in several ways and the
+//! node receives several signals. In half of the runs, idle clients hold connections too.
 
 use crate::support::client::Client;
 use crate::support::endpoint::{ScriptedEndpoint, ScriptedReply, ok, rejection, response};
@@ -18,15 +18,16 @@
 
 /// The longest deadline of the deployment, in milliseconds.
 const DEADLINE_MS: u64 = 600;
-/// SIGKILL comes no sooner after SIGTERM than the longest deadline and this.
+/// Operators send SIGKILL no earlier than the longest deadline and this time after SIGTERM.
 const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
-/// The number of seeds; each plays one run.
-const SEEDS: u64 = 6;
-/// The environment variable with the number of seeds of a longer run by hand.
+/// The default number of runs, each with its own seed.
+const DEFAULT_SEEDS: u64 = 6;
+/// The environment variable that sets another number of runs, for longer tests by hand.
 const SEEDS_VARIABLE: &str = "SOAK_SEEDS";
+/// The number of clients that send requests.
 const CLIENTS: u32 = 6;
-/// The number of silent clients.
-const CROWD: usize = 40;
+/// The number of clients that connect and send nothing, in every second run.
+const SILENT_CLIENTS: usize = 40;
 
 /// How an endpoint replies to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,9 +41,9 @@
 }
 
 impl ReplyKind {
-    /// Chooses a reply by a random number.
-    fn of(draw: u32) -> Self {
-        match draw % 48 {
+    /// Chooses a reply from a random number.
+    fn from_random(number: u32) -> Self {
+        match number % 48 {
             0 => ReplyKind::Failed,
             1 => ReplyKind::Closed,
             2 => ReplyKind::Reset,
@@ -64,38 +65,46 @@
         }
     }
 
-    /// Returns whether the request may have run, as far as the node can know.
+    /// Returns whether the node must assume that the request has run.
     fn may_have_run(self) -> bool {
         self != ReplyKind::Rejected
     }
 }
 
-/// The replies of the endpoints to each request, by its id.
+/// The replies of the endpoints to each request, by call id.
 type Attempts = Arc<Mutex<BTreeMap<String, Vec<ReplyKind>>>>;
 
-/// What a client knows of a request.
+/// A request as recorded by its client.
 #[derive(Debug)]
 struct SentRequest {
     id: String,
     is_idempotent: bool,
-    /// How long after SIGTERM it was written; `None` if before.
+    /// How long after SIGTERM the client sent it. `None` if it was sent before.
     after_termination: Option<Duration>,
-    /// How long its client waited.
+    /// How long the client waited for the response.
     waited: Duration,
-    /// `None` if the connection ended without a response.
+    /// The response. `None` if the connection ended without one.
     response: Option<Message>,
 }
 
-/// Starts an endpoint with random replies, which it records.
+/// Starts an endpoint that replies at random and records its replies.
 fn start_endpoint(seed: u64, number: u64, attempts: &Attempts) -> ScriptedEndpoint {
     let random = Mutex::new(Pcg32::seed_from_u64(seed * 16 + number));
     let attempts = attempts.clone();
     ScriptedEndpoint::start(move |message| {
-        let id = message.header("x-call-id").expect("an id").to_owned();
-        let kind = ReplyKind::of(random.lock().expect("the random numbers").next_u32());
+        let id = message
+            .header("x-call-id")
+            .expect("request should have a call id")
+            .to_owned();
+        let kind = ReplyKind::from_random(
+            random
+                .lock()
+                .expect("generator should not be poisoned")
+                .next_u32(),
+        );
         attempts
             .lock()
-            .expect("the attempts")
+            .expect("attempts should not be poisoned")
             .entry(id.clone())
             .or_default()
             .push(kind);
@@ -103,7 +112,8 @@
     })
 }
 
-/// Starts a client that sends one request after another, on one connection while that stays open.
+/// Starts a client that sends one request after another. It reconnects when its connection has
+/// ended, and stops when it cannot.
 fn start_client(
     address: SocketAddr,
     name: String,
@@ -120,13 +130,13 @@
                 format!("X-Call-Id: {id}\r\nX-Caller: acme\r\nX-Budget-Ms: {DEADLINE_MS}\r\n");
             let after_termination = terminated.get().map(Instant::elapsed);
             let started = Instant::now();
-            let (start, body) = if is_idempotent {
+            let (method_and_target, body) = if is_idempotent {
                 ("GET /read/1f", &b""[..])
             } else {
                 ("POST /correct/1f", &b"sheet"[..])
             };
-            let response = client.try_request(start, &headers, body);
-            let has_ended = response.is_none() || client.has_ended();
+            let response = client.try_request(method_and_target, &headers, body);
+            let has_ended = response.is_none() || client.is_ended_now();
             let waited = started.elapsed();
             sent.push(SentRequest {
                 id,
@@ -143,8 +153,8 @@
     })
 }
 
-/// Sends a series of signals, SIGTERM among them, and kills the node as early as operators may.
-fn restart(node: &mut NodeProcess, random: &mut Pcg32, terminated: &OnceLock<Instant>) {
+/// Sends several signals to the node, among them SIGTERM, and kills it as early as operators may.
+fn signal_and_kill(node: &mut NodeProcess, random: &mut Pcg32, terminated: &OnceLock<Instant>) {
     let mut pause =
         |max_ms: u32| sleep(Duration::from_millis(u64::from(random.next_u32() % max_ms)));
     pause(500);
@@ -167,11 +177,11 @@
     node.kill();
 }
 
-/// Checks what the clients of a run received against what the endpoints were sent.
+/// Checks the responses that the clients of a run received against the replies of the endpoints.
 struct RunCheck<'a> {
     seed: u64,
     attempts: &'a BTreeMap<String, Vec<ReplyKind>>,
-    has_crowd: bool,
+    has_silent_clients: bool,
 }
 
 impl RunCheck<'_> {
@@ -185,7 +195,7 @@
         }
     }
 
-    /// Returns the replies of endpoints to a request, in their order.
+    /// Returns the replies of the endpoints to a request, in order.
     fn replies(&self, request: &SentRequest) -> &[ReplyKind] {
         self.attempts
             .get(&request.id)
@@ -193,30 +203,32 @@
             .unwrap_or_default()
     }
 
-    /// A request may be left without a response only if it was not sent to an endpoint, and if its
-    /// connection may have been closed.
+    /// A request may get no response only if no endpoint received it and the node may have closed
+    /// its connection: after SIGTERM, or to evict it for one of the silent clients.
     fn check_without_response(&self, request: &SentRequest) {
         let (seed, id, replies) = (self.seed, &request.id, self.replies(request));
-        let when = (request.after_termination, request.waited);
+        let timing = (request.after_termination, request.waited);
         assert!(
             replies.is_empty(),
-            "seed {seed}: {id}, {replies:?}, has no response: {when:?}"
+            "seed {seed}: request {id} was sent to endpoints ({replies:?}) but got no response; \
+             (after SIGTERM, waited): {timing:?}"
         );
-        let may_be_closed = self.has_crowd || request.after_termination.is_some();
+        let may_be_closed = self.has_silent_clients || request.after_termination.is_some();
         assert!(
             may_be_closed,
-            "seed {seed}: {id} was closed with no response: {when:?}"
+            "seed {seed}: connection of request {id} was closed without a response; \
+             (after SIGTERM, waited): {timing:?}"
         );
     }
 
-    /// A response belongs to its request, and sheds it only if a retry is safe.
+    /// A response must belong to its request, and may shed it only if a retry is safe.
     fn check_response(&self, request: &SentRequest, response: &Message) {
         let (seed, id) = (self.seed, &request.id);
         match response.status() {
             200 => assert_eq!(
                 response.body,
                 id.as_bytes(),
-                "seed {seed}: the response of another request"
+                "seed {seed}: request {id} got the response of another request"
             ),
             429 | 503 => {
                 let may_have_run = self
@@ -224,26 +236,30 @@
                     .iter()
                     .any(|reply| reply.may_have_run());
                 let is_safe = request.is_idempotent || !may_have_run;
-                assert!(is_safe, "seed {seed}: {id} was shed and may have run");
+                assert!(
+                    is_safe,
+                    "seed {seed}: request {id} was shed but may have run"
+                );
             }
             _ => {}
         }
     }
 
-    /// No attempt follows one in which the request may have run.
+    /// A request that is not idempotent must not be sent again after an attempt in which it may
+    /// have run.
     fn check_not_repeated(&self, request: &SentRequest) {
         let replies = self.replies(request);
         let earlier = &replies[..replies.len().saturating_sub(1)];
         assert!(
             !earlier.iter().any(|reply| reply.may_have_run()),
-            "seed {}: {} was sent twice",
+            "seed {}: request {} was sent again after it may have run",
             self.seed,
             request.id
         );
     }
 }
 
-/// Counts of requests over all runs.
+/// The counts of requests in all runs.
 #[derive(Debug, Default)]
 struct Totals {
     sent: usize,
@@ -253,17 +269,20 @@
     served: usize,
 }
 
-/// Plays a restart, checks its requests and adds them to the totals.
-fn play(seed: u64, totals: &mut Totals) {
-    let has_crowd = seed % 2 == 1;
+/// Runs one restart, checks its requests and adds them to the totals.
+fn run_restart(seed: u64, totals: &mut Totals) {
+    let has_silent_clients = seed % 2 == 1;
     let attempts = Attempts::default();
     let endpoints = [0, 1, 2].map(|number| start_endpoint(seed, number, &attempts));
     let (mut node, _discovery) =
         NodeSetup::with_settings(NodeSettings::with_objective(DEADLINE_MS))
             .start(&endpoints.each_ref());
-    let crowd: Vec<_> = (0..if has_crowd { CROWD } else { 0 })
-        .map(|_| node.client())
-        .collect();
+    let silent_count = if has_silent_clients {
+        SILENT_CLIENTS
+    } else {
+        0
+    };
+    let silent_clients: Vec<_> = (0..silent_count).map(|_| node.client()).collect();
     let terminated = Arc::new(OnceLock::new());
     let clients: Vec<_> = (0..CLIENTS)
         .map(|client| {
@@ -274,16 +293,16 @@
             )
         })
         .collect();
-    restart(&mut node, &mut Pcg32::seed_from_u64(seed), &terminated);
+    signal_and_kill(&mut node, &mut Pcg32::seed_from_u64(seed), &terminated);
     let requests: Vec<_> = clients
         .into_iter()
-        .flat_map(|client| client.join().expect("a client"))
+        .flat_map(|client| client.join().expect("client should not panic"))
         .collect();
-    drop(crowd);
+    drop(silent_clients);
     let check = RunCheck {
         seed,
-        attempts: &attempts.lock().expect("the attempts"),
-        has_crowd,
+        attempts: &attempts.lock().expect("attempts should not be poisoned"),
+        has_silent_clients,
     };
     requests.iter().for_each(|request| check.check(request));
     totals.sent += requests.len();
@@ -300,10 +319,11 @@
 
 #[test]
 fn restarts_under_load_lose_or_repeat_no_request() {
-    let seeds = std::env::var(SEEDS_VARIABLE)
-        .map_or(SEEDS, |text| text.parse().expect("a number of seeds"));
+    let seeds = std::env::var(SEEDS_VARIABLE).map_or(DEFAULT_SEEDS, |text| {
+        text.parse().expect("SOAK_SEEDS should be a number")
+    });
     let mut totals = Totals::default();
-    (0..seeds).for_each(|seed| play(seed, &mut totals));
+    (0..seeds).for_each(|seed| run_restart(seed, &mut totals));
     println!("{seeds} seeds: {totals:?}");
     assert!(totals.served > 0, "no request was served");
 }
--- a/crates/node/tests/node/support.rs
+++ b/crates/node/tests/node/support.rs
@@ -1,5 +1,7 @@
-//! A node under test and scripted peers around it: endpoints, a discovery service and clients. They
-//! wait for events; [`wait::TEST_TIMEOUT`] only ends a test that has gone wrong.
+//! The node under test and its scripted peers: clients, endpoints and a discovery service.
+//!
+//! Tests wait for events rather than for fixed times. A test that waits for longer than
+//! [`wait::TEST_TIMEOUT`] fails.
 
 pub(crate) mod client;
 pub(crate) mod config;
--- a/crates/node/tests/node/support/config.rs
+++ b/crates/node/tests/node/support/config.rs
@@ -1,28 +1,28 @@
-//! Configurations of the node under test.
+//! Builds configuration files for the node under test.
 
 use super::discovery::snapshot;
 use super::settings::NodeSettings;
 use std::net::SocketAddr;
 
-/// The index of the cached list.
+/// The index of the cached endpoint list.
 pub(crate) const CACHED_LIST_INDEX: u64 = 7;
 
-/// A configuration. Its cached list has no endpoints, and it allows [`NodeConfig::SOCKETS`]
-/// descriptors for sockets.
+/// A configuration file. By default, the cached list has no endpoints and the limit of descriptors
+/// for sockets is [`NodeConfig::DEFAULT_SOCKETS`].
 #[derive(Clone, Debug)]
 pub(crate) struct NodeConfig {
     name: &'static str,
     discovery: SocketAddr,
-    /// The members of `limits` beside `cores`.
+    /// The members of the JSON object `limits`, without `cores`.
     limits: String,
-    /// The value of `known`; without one, the member is left out.
+    /// The value of `known`. If `None`, the member is omitted.
     cached_list: Option<String>,
     settings: NodeSettings,
 }
 
 impl NodeConfig {
-    /// The descriptors for sockets, unless a test says otherwise.
-    pub(crate) const SOCKETS: u32 = 1024;
+    /// The default limit of descriptors for sockets.
+    pub(crate) const DEFAULT_SOCKETS: u32 = 1024;
 
     pub(crate) fn new(discovery: SocketAddr, settings: &NodeSettings) -> Self {
         NodeConfig {
@@ -32,7 +32,7 @@
             cached_list: Some(snapshot(CACHED_LIST_INDEX, &[])),
             settings: settings.clone(),
         }
-        .sockets(Self::SOCKETS)
+        .sockets(Self::DEFAULT_SOCKETS)
     }
 
     /// Sets the node's name.
@@ -40,7 +40,7 @@
         NodeConfig { name, ..self }
     }
 
-    /// Sets the number of descriptors for sockets.
+    /// Sets the limit of descriptors for sockets.
     pub(crate) fn sockets(self, sockets: u32) -> Self {
         self.limits(&format!(r#""memory_mb":192,"sockets":{sockets}"#))
     }
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Sets the cached list, as JSON; `None` leaves it out.
+    /// Sets the cached list, as JSON. `None` omits it.
     pub(crate) fn cached_list(self, cached_list: Option<&str>) -> Self {
         NodeConfig {
             cached_list: cached_list.map(str::to_owned),
--- a/crates/node/tests/node/support/endpoint.rs
+++ b/crates/node/tests/node/support/endpoint.rs
@@ -1,4 +1,4 @@
-//! Scripted endpoints, which reply to the node's requests as a test says and record what arrives.
+//! Scripted endpoints. The test defines their replies and can wait for the requests they receive.
 
 use super::message::{Message, read_message};
 use super::wait::TEST_TIMEOUT;
@@ -11,41 +11,41 @@
 use std::thread::spawn;
 use std::time::Duration;
 
-/// What a scripted endpoint does with a request.
+/// How a scripted endpoint replies to a request.
 pub(crate) enum ScriptedReply {
-    /// A whole response. `status` is the status line after the version, `headers` are lines of
-    /// headers.
+    /// Sends a response with a Content-Length. `status` is the status code and reason phrase. Each
+    /// line of `headers` ends with CRLF.
     Response {
         status: &'static str,
         headers: &'static str,
         body: Vec<u8>,
     },
-    /// These bytes, and then an orderly close of the connection.
+    /// Sends these bytes, then closes the connection with FIN.
     CloseAfter(Vec<u8>),
-    /// These bytes, and then a reset of the connection.
+    /// Sends these bytes, then resets the connection.
     ResetAfter(Vec<u8>),
-    /// These bytes, on a connection that stays open.
+    /// Sends these bytes and keeps the connection open.
     Raw(&'static [u8]),
-    /// No response for as long as the node waits.
+    /// Sends nothing and keeps the connection open.
     NoResponse,
 }
 
-/// Returns a response of status 200 with this body.
+/// Returns a response with status 200 and a body.
 pub(crate) fn ok(body: &str) -> ScriptedReply {
     response("200 OK", "", body.as_bytes())
 }
 
-/// Returns a response of status 200 with these headers and without a body.
+/// Returns a response with status 200 and headers, but no body.
 pub(crate) fn ok_with_headers(headers: &'static str) -> ScriptedReply {
     response("200 OK", headers, b"")
 }
 
-/// Returns a response that proves that the request did not run.
+/// Returns a response with `X-Rejected`, which states that the request did not run.
 pub(crate) fn rejection(status: &'static str) -> ScriptedReply {
     response(status, "X-Rejected: 1\r\n", b"")
 }
 
-/// Returns a response with a status, lines of headers, and a body.
+/// Returns a response with a status, headers and a body.
 pub(crate) fn response(status: &'static str, headers: &'static str, body: &[u8]) -> ScriptedReply {
     ScriptedReply::Response {
         status,
@@ -56,18 +56,18 @@
 
 /// A request as an endpoint received it.
 pub(crate) struct ReceivedRequest {
-    /// The number of its connection, from 0.
+    /// The number of the connection, counted from 0.
     pub connection: usize,
     pub message: Message,
 }
 
-/// What happens at an endpoint.
+/// An event that an endpoint reports to the test.
 enum EndpointEvent {
     Request(ReceivedRequest),
     ConnectionClosed { connection: usize },
 }
 
-/// An endpoint that replies by a script.
+/// An endpoint whose replies are defined by a script.
 pub(crate) struct ScriptedEndpoint {
     pub address: SocketAddr,
     events: Receiver<EndpointEvent>,
@@ -75,7 +75,7 @@
 }
 
 impl ScriptedEndpoint {
-    /// Starts an endpoint that responds to all requests with status 200 and this body.
+    /// Starts an endpoint that responds to every request with status 200 and this body.
     pub(crate) fn serving(body: &'static str) -> Self {
         Self::start(move |_| ok(body))
     }
@@ -85,18 +85,20 @@
         Self::start(|_| ScriptedReply::NoResponse)
     }
 
-    /// Starts an endpoint that replies to each request as `script` says.
+    /// Starts an endpoint that replies to each request with the result of `script`.
     pub(crate) fn start(
         script: impl Fn(&Message) -> ScriptedReply + Send + Sync + 'static,
     ) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("its address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("loopback port should bind");
+        let address = listener
+            .local_addr()
+            .expect("listener should have an address");
         let (event_sender, events) = channel();
         let request_count = Arc::new(AtomicUsize::new(0));
         let (script, count) = (Arc::new(script), request_count.clone());
         spawn(move || {
             for (connection, stream) in listener.incoming().enumerate() {
-                let stream = stream.expect("a connection");
+                let stream = stream.expect("listener should accept a connection");
                 let (script, count, events) = (script.clone(), count.clone(), event_sender.clone());
                 spawn(move || serve(stream, connection, &events, &count, &*script));
             }
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Waits until a connection closes, and returns its number.
+    /// Waits until a connection closes and returns its number.
     pub(crate) fn next_closed(&self) -> usize {
         loop {
             if let EndpointEvent::ConnectionClosed { connection } = self.next_event() {
@@ -126,14 +128,15 @@
         }
     }
 
-    /// Returns whether a connection has closed; drops the events before that.
-    pub(crate) fn has_closed_connection(&self) -> bool {
+    /// Returns, without waiting, whether a connection has closed. Discards the events up to and
+    /// including that one, or all of them.
+    pub(crate) fn take_closed_connection(&self) -> bool {
         self.events
             .try_iter()
             .any(|event| matches!(event, EndpointEvent::ConnectionClosed { .. }))
     }
 
-    /// Returns the number of requests so far.
+    /// Returns the number of requests received so far.
     pub(crate) fn request_count(&self) -> usize {
         self.request_count.load(Ordering::SeqCst)
     }
@@ -141,7 +144,7 @@
     fn next_event(&self) -> EndpointEvent {
         self.events
             .recv_timeout(TEST_TIMEOUT)
-            .expect("an event at the endpoint")
+            .expect("endpoint should receive a request or a close")
     }
 }
 
@@ -153,7 +156,7 @@
     request_count: &AtomicUsize,
     script: &impl Fn(&Message) -> ScriptedReply,
 ) {
-    let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
+    let mut reader = BufReader::new(stream.try_clone().expect("socket should be cloned"));
     let mut writer = stream;
     while let Some(message) = read_message(&mut reader) {
         request_count.fetch_add(1, Ordering::SeqCst);
@@ -183,7 +186,7 @@
                 let _ = writer.write_all(&bytes);
                 SockRef::from(&writer)
                     .set_linger(Some(Duration::ZERO))
-                    .expect("a reset at its close");
+                    .expect("linger time should be set to zero");
                 break;
             }
             ScriptedReply::Raw(bytes) => drop(writer.write_all(bytes)),
@@ -193,7 +196,8 @@
     let _ = events.send(EndpointEvent::ConnectionClosed { connection });
 }
 
-/// Starts two endpoints that share a script, which gets the number of earlier requests at either.
+/// Starts two endpoints with the same script. Its argument is the number of earlier requests at
+/// both endpoints together.
 pub(crate) fn endpoint_pair(
     script: impl Fn(usize) -> ScriptedReply + Send + Sync + 'static,
 ) -> (ScriptedEndpoint, ScriptedEndpoint) {
@@ -206,13 +210,13 @@
     (start(), start())
 }
 
-/// Starts two endpoints. The one that gets the first request replies to it by `first_reply`, and
-/// all other requests get the body `second`.
+/// Starts two endpoints. The first request at either of them gets `first_reply`, and all further
+/// requests get status 200 with the body `second`.
 pub(crate) fn endpoint_pair_with_first_reply(
     first_reply: impl Fn() -> ScriptedReply + Send + Sync + 'static,
 ) -> (ScriptedEndpoint, ScriptedEndpoint) {
-    endpoint_pair(move |before| {
-        if before == 0 {
+    endpoint_pair(move |earlier_requests| {
+        if earlier_requests == 0 {
             first_reply()
         } else {
             ok("second")
@@ -220,7 +224,7 @@
     })
 }
 
-/// Returns the number of requests that some endpoints have received.
+/// Returns the number of requests that the endpoints have received together.
 pub(crate) fn count_requests(endpoints: &[ScriptedEndpoint]) -> usize {
     endpoints.iter().map(ScriptedEndpoint::request_count).sum()
 }
--- a/crates/node/tests/node/support/gate.rs
+++ b/crates/node/tests/node/support/gate.rs
@@ -1,32 +1,36 @@
-//! Gates at which endpoints wait until the test releases their replies.
+//! Lets a test hold back the replies of endpoints until it releases them.
 
 use super::wait::TEST_TIMEOUT;
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::sync::{Arc, Mutex};
 
-/// The endpoints' side, at which scripts wait.
+/// Blocks the scripts of endpoints until the test releases their replies.
 #[derive(Clone)]
-pub(crate) struct Gate(Arc<Mutex<Receiver<()>>>);
+pub(crate) struct ReplyGate(Arc<Mutex<Receiver<()>>>);
 
-/// The test's side, which releases replies.
-pub(crate) struct GateKeeper(Sender<()>);
+/// Releases replies that wait at a [`ReplyGate`].
+pub(crate) struct ReplyReleaser(Sender<()>);
 
-/// Returns both sides of a new gate.
-pub(crate) fn gate() -> (GateKeeper, Gate) {
+/// Creates a gate and its releaser.
+pub(crate) fn reply_gate() -> (ReplyReleaser, ReplyGate) {
     let (sender, receiver) = channel();
-    (GateKeeper(sender), Gate(Arc::new(Mutex::new(receiver))))
+    (
+        ReplyReleaser(sender),
+        ReplyGate(Arc::new(Mutex::new(receiver))),
+    )
 }
 
-impl Gate {
-    /// Waits until the test releases a reply.
+impl ReplyGate {
+    /// Waits until the test releases a reply, at most [`TEST_TIMEOUT`].
     pub(crate) fn wait(&self) {
-        let _ = self.0.lock().expect("the gate").recv_timeout(TEST_TIMEOUT);
+        let receiver = self.0.lock().expect("gate should not be poisoned");
+        let _ = receiver.recv_timeout(TEST_TIMEOUT);
     }
 }
 
-impl GateKeeper {
-    /// Releases the reply of one script that waits.
+impl ReplyReleaser {
+    /// Releases one reply that waits at the gate, or the next one to arrive there.
     pub(crate) fn release_one(&self) {
-        self.0.send(()).expect("an endpoint has the gate");
+        self.0.send(()).expect("an endpoint should hold the gate");
     }
 }
--- a/crates/node/tests/node/support/message.rs
+++ b/crates/node/tests/node/support/message.rs
@@ -1,9 +1,9 @@
-//! HTTP messages as a peer of the node reads them.
+//! Reads HTTP messages from the node.
 
 use std::collections::BTreeMap;
 use std::io::BufRead;
 
-/// A request or a response. The names of its headers are in lower case.
+/// A request or a response. Header names are in lower case.
 #[derive(Clone, Debug)]
 pub(crate) struct Message {
     pub start_line: String,
@@ -18,16 +18,17 @@
             .split(' ')
             .nth(1)
             .and_then(|status| status.parse().ok())
-            .expect("a status")
+            .expect("start line should hold a status")
     }
 
-    /// Returns the value of a header. `name` is in lower case.
+    /// Returns the value of a header. `name` must be in lower case.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).map(String::as_str)
     }
 }
 
-/// Reads a message, whose body has a Content-Length if any; `None` if the connection ends first.
+/// Reads a message. Its body, if any, must have a Content-Length. Returns `None` if the connection
+/// ends before the end of the message.
 pub(crate) fn read_message(stream: &mut impl BufRead) -> Option<Message> {
     let start_line = read_line(stream)?;
     let mut headers = BTreeMap::new();
@@ -38,9 +39,9 @@
         };
         headers.insert(name.to_lowercase(), value.to_owned());
     }
-    let length = headers
-        .get("content-length")
-        .map_or(0, |length| length.parse().expect("a length"));
+    let length = headers.get("content-length").map_or(0, |length| {
+        length.parse().expect("Content-Length should be a number")
+    });
     let mut body = vec![0; length];
     stream.read_exact(&mut body).ok()?;
     Some(Message {
@@ -50,7 +51,7 @@
     })
 }
 
-/// Reads a line without its end; `None` if the connection ends first.
+/// Reads a line and strips its end. Returns `None` at the end of the connection.
 fn read_line(stream: &mut impl BufRead) -> Option<String> {
     let mut line = String::new();
     let length = stream.read_line(&mut line).ok()?;
--- a/crates/node/tests/node/support/process.rs
+++ b/crates/node/tests/node/support/process.rs
@@ -1,4 +1,4 @@
-//! The node as a process, run as its users run it.
+//! Runs the node as a process, with a configuration file as in production.
 
 use super::client::Client;
 use super::config::NodeConfig;
@@ -13,26 +13,26 @@
 use std::sync::{Arc, Mutex};
 use std::thread::spawn;
 
-/// Counts the configurations, for the names of their files.
-static CONFIG_NUMBER: AtomicUsize = AtomicUsize::new(0);
+/// The number of the next configuration file, which is part of its name.
+static NEXT_CONFIG_NUMBER: AtomicUsize = AtomicUsize::new(0);
 
-/// The command of a node, and the file of its configuration.
+/// The command that starts a node, and the path of its configuration file.
 pub(crate) struct NodeCommand {
     pub command: Command,
     config_path: PathBuf,
 }
 
-/// Returns the command of a node with this configuration. The system allows it `open_file_limit`
-/// descriptors; without a limit, as many as the test.
+/// Writes a configuration file and returns the command that starts a node with it. The process may
+/// open `open_file_limit` descriptors; if `None`, it inherits the limit of the test.
 pub(crate) fn node_command(config: &str, open_file_limit: Option<u32>) -> NodeCommand {
     let set_limit = match open_file_limit {
         Some(descriptors) => format!("ulimit -n {descriptors}; "),
         None => String::new(),
     };
-    let number = CONFIG_NUMBER.fetch_add(1, Ordering::SeqCst);
+    let number = NEXT_CONFIG_NUMBER.fetch_add(1, Ordering::SeqCst);
     let name = format!("config-{}-{number}.json", std::process::id());
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&path, config).expect("a place for the configuration");
+    std::fs::write(&path, config).expect("configuration should be written");
     let mut command = Command::new("/bin/sh");
     command
         .arg("-c")
@@ -49,42 +49,46 @@
     }
 }
 
-/// A node that runs. It is killed when this is dropped.
+/// A running node. Dropping it kills the process.
 pub(crate) struct NodeProcess {
     child: Child,
     config_path: PathBuf,
     pub address: SocketAddr,
     log: Arc<Mutex<Vec<String>>>,
-    /// Keeps the pipe of an unread log open.
+    /// The reading side of an unread log, which must stay open.
     _log_reader: Option<UnixStream>,
 }
 
 impl NodeProcess {
-    /// Starts a node with this configuration.
+    /// Starts a node.
     pub(crate) fn start(config: &NodeConfig) -> Self {
         Self::start_with_open_file_limit(&config.to_json(), None)
     }
 
-    /// Starts a node with this configuration, to which the system allows `open_file_limit`
-    /// descriptors.
+    /// Starts a node that may open `open_file_limit` descriptors.
     pub(crate) fn start_with_open_file_limit(config: &str, open_file_limit: Option<u32>) -> Self {
         let NodeCommand {
             mut command,
             config_path,
         } = node_command(config, open_file_limit);
-        let mut child = command.spawn().expect("the node starts");
-        let mut lines = BufReader::new(child.stderr.take().expect("its log"))
-            .lines()
-            .map_while(Result::ok);
-        let first = lines.next().expect("a first line");
-        let address = first
+        let mut child = command.spawn().expect("node should start");
+        let stderr = child.stderr.take().expect("stderr should be piped");
+        let mut lines = BufReader::new(stderr).lines().map_while(Result::ok);
+        let first_line = lines.next().expect("log should have a first line");
+        let address = first_line
             .rsplit(' ')
             .next()
             .and_then(|address| address.parse().ok());
-        let address = address.unwrap_or_else(|| panic!("no address: {first}"));
+        let address = address
+            .unwrap_or_else(|| panic!("no address at the end of the first log line: {first_line}"));
         let log = Arc::new(Mutex::new(Vec::new()));
-        let kept = log.clone();
-        spawn(move || lines.for_each(|line| kept.lock().expect("the log").push(line)));
+        let log_writer = log.clone();
+        spawn(move || {
+            for line in lines {
+                let mut log = log_writer.lock().expect("log should not be poisoned");
+                log.push(line);
+            }
+        });
         NodeProcess {
             child,
             config_path,
@@ -94,32 +98,38 @@
         }
     }
 
-    /// Starts a node whose log nobody reads. The pipe is full, so that it can write none of it.
+    /// Starts a node whose log nobody reads. The socket for its standard error is already full, so
+    /// that the node cannot write a single line.
     pub(crate) fn start_with_unread_log(config: &str) -> Self {
-        let (mut full, read) = UnixStream::pair().expect("a pair");
-        full.set_nonblocking(true).expect("its mode");
-        while full.write(&[b'.'; 4096]).is_ok() {}
-        full.set_nonblocking(false).expect("its mode");
-        // The log cannot say where the node listens, so the port is chosen here.
-        let free = TcpListener::bind("127.0.0.1:0")
-            .and_then(|free| free.local_addr())
-            .expect("a port");
-        let config = config.replace("127.0.0.1:0", &free.to_string());
+        let (mut log_writer, log_reader) =
+            UnixStream::pair().expect("socket pair should be created");
+        log_writer
+            .set_nonblocking(true)
+            .expect("blocking mode should be set");
+        while log_writer.write(&[b'.'; 4096]).is_ok() {}
+        log_writer
+            .set_nonblocking(false)
+            .expect("blocking mode should be set");
+        // The log does not tell the test where the node listens, so the test chooses a free port.
+        let address = TcpListener::bind("127.0.0.1:0")
+            .and_then(|listener| listener.local_addr())
+            .expect("loopback port should bind");
+        let config = config.replace("127.0.0.1:0", &address.to_string());
         let NodeCommand {
             mut command,
             config_path,
         } = node_command(&config, None);
         let child = command
-            .stderr(OwnedFd::from(full))
+            .stderr(OwnedFd::from(log_writer))
             .spawn()
-            .expect("the node starts");
-        wait_until(|| TcpStream::connect(free).is_ok(), "a node that listens");
+            .expect("node should start");
+        wait_until(|| TcpStream::connect(address).is_ok(), "the node to listen");
         NodeProcess {
             child,
             config_path,
-            address: free,
+            address,
             log: Arc::default(),
-            _log_reader: Some(read),
+            _log_reader: Some(log_reader),
         }
     }
 
@@ -128,21 +138,22 @@
         Client::connect(self.address)
     }
 
-    /// Returns whether the node says that it is ready.
+    /// Returns whether the readiness check of the node succeeds.
     pub(crate) fn is_ready(&self) -> bool {
         self.client().request("GET /health/ready", "", b"").status() == 200
     }
 
-    /// Waits until a line of the log contains this text.
+    /// Waits until a line of the log contains `text`.
     pub(crate) fn wait_for_log(&self, text: &str) {
-        wait_until(|| self.count_log_lines(text) > 0, text);
+        let condition = format!("a log line with {text:?}");
+        wait_until(|| self.count_log_lines(text) > 0, &condition);
     }
 
-    /// Counts the lines of the log that contain this text.
+    /// Returns the number of lines of the log that contain `text`.
     pub(crate) fn count_log_lines(&self, text: &str) -> usize {
         self.log
             .lock()
-            .expect("the log")
+            .expect("log should not be poisoned")
             .iter()
             .filter(|line| line.contains(text))
             .count()
@@ -151,66 +162,68 @@
     /// Returns the resident memory of the node in KiB.
     pub(crate) fn resident_memory_kib(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
-            .expect("its state");
+            .expect("process status should be readable");
         let line = status
             .lines()
             .find_map(|line| line.strip_prefix("VmRSS:"))
-            .expect("its memory");
+            .expect("process status should hold VmRSS");
         line.trim_end_matches("kB")
             .trim()
             .parse()
-            .expect("a number")
+            .expect("VmRSS should be a number")
     }
 
-    /// Sends the node a signal, which `kill` knows by this name.
-    pub(crate) fn signal(&self, name: &str) {
+    /// Sends a signal to the node. `option` is an option of `kill`, such as `-HUP`.
+    pub(crate) fn signal(&self, option: &str) {
         let id = self.child.id().to_string();
         assert!(
             Command::new("kill")
-                .args([name, &id])
+                .args([option, &id])
                 .status()
-                .expect("kill runs")
+                .expect("kill should run")
                 .success()
         );
     }
 
-    /// Sends the node SIGTERM.
+    /// Sends SIGTERM to the node.
     pub(crate) fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Replaces the configuration, and sends SIGHUP.
+    /// Replaces the configuration file and sends SIGHUP to the node.
     pub(crate) fn reload(&self, config: &str) {
-        let new = self.config_path.with_extension("new");
-        std::fs::write(&new, config)
-            .and_then(|()| std::fs::rename(&new, &self.config_path))
-            .expect("a new file");
+        let new_path = self.config_path.with_extension("new");
+        std::fs::write(&new_path, config)
+            .and_then(|()| std::fs::rename(&new_path, &self.config_path))
+            .expect("configuration should be replaced");
         self.signal("-HUP");
     }
 
     /// Returns whether the node has exited.
     pub(crate) fn has_exited(&mut self) -> bool {
-        self.child.try_wait().expect("its state").is_some()
+        let status = self.child.try_wait();
+        status.expect("exit status should be readable").is_some()
     }
 
-    /// Sends the node SIGKILL, and waits until it has exited.
+    /// Sends SIGKILL to the node and waits until it has exited.
     pub(crate) fn kill(&mut self) {
-        // The node may have exited by itself.
+        // Errors are ignored, because the node may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Waits until the node has exited.
+    /// Waits until the node has exited and returns its status.
     pub(crate) fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
         wait_until(
             || {
-                status = self.child.try_wait().expect("its state");
+                let result = self.child.try_wait();
+                status = result.expect("exit status should be readable");
                 status.is_some()
             },
-            "the exit of the node",
+            "the node to exit",
         );
-        status.expect("just seen")
+        status.expect("node should have exited")
     }
 }
 
--- a/crates/node/tests/node/support/settings.rs
+++ b/crates/node/tests/node/support/settings.rs
@@ -1,25 +1,26 @@
-//! Settings of the node under test.
+//! Builds the settings in the configuration of the node under test.
 
 /// A latency objective and deadline that no test reaches, in milliseconds.
-pub(crate) const LONG_MS: u64 = 20_000;
+pub(crate) const LONG_DEADLINE_MS: u64 = 20_000;
 
-/// The longest body of a request or response that the node accepts.
+/// The maximum size of a request or response body that the node accepts.
 pub(crate) const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// Settings with the classes `read` (idempotent), `submit` (keyed) and `correct` (not idempotent),
-/// which have the same times.
+/// Settings with the classes `read` (idempotent), `submit` (idempotent by key) and `correct` (not
+/// idempotent), which have the same latency objective and deadline.
 #[derive(Clone, Debug)]
 pub(crate) struct NodeSettings {
-    /// The latency objective and deadline of all classes.
+    /// The latency objective, which is also the deadline, of all classes.
     pub objective_ms: u64,
-    /// The weight of a response after the objective, if any.
+    /// The weight of a response that arrives after the latency objective, if any.
     pub late_weight: Option<f64>,
     pub drain_grace_ms: u64,
-    /// The overload window of endpoints in slow start, which outlier ejection uses too.
+    /// The overload window of endpoints in slow start. Outlier ejection uses it too.
     pub overload_window_ms: Option<u64>,
-    /// Where the endpoint list must be polled: the longest time without a poll or a watch.
+    /// The poll interval, if the endpoint list must be polled: the longest time without a poll or a
+    /// watch.
     pub poll_interval_ms: Option<u64>,
-    /// The idle timeout of endpoints for their connections.
+    /// The time after which endpoints close an idle connection.
     pub endpoint_idle_timeout_ms: Option<u64>,
     /// Whether two attempts of a request may be in flight at once.
     pub parallel_attempts: bool,
@@ -28,7 +29,7 @@
 impl Default for NodeSettings {
     fn default() -> Self {
         NodeSettings {
-            objective_ms: LONG_MS,
+            objective_ms: LONG_DEADLINE_MS,
             late_weight: None,
             drain_grace_ms: 2000,
             overload_window_ms: None,
@@ -40,7 +41,7 @@
 }
 
 impl NodeSettings {
-    /// Returns settings with this latency objective and deadline.
+    /// Returns settings with `objective_ms` as latency objective and deadline.
     pub(crate) fn with_objective(objective_ms: u64) -> Self {
         NodeSettings {
             objective_ms,
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Returns settings by which the endpoint list must be polled.
+    /// Returns settings that require polling of the endpoint list.
     pub(crate) fn polling() -> Self {
         NodeSettings {
             poll_interval_ms: Some(1000),
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Returns the settings as they stand in a configuration.
+    /// Returns the settings as JSON for a configuration file.
     pub(crate) fn to_json(&self) -> String {
         let classes = [
             self.class("read", "free"),
@@ -101,7 +102,7 @@
     }
 }
 
-/// Returns a member of a JSON object and a comma; nothing without a value.
+/// Returns a member of a JSON object with a trailing comma, or nothing if there is no value.
 fn member(name: &str, value: Option<impl std::fmt::Display>) -> String {
     value
         .map(|value| format!(r#""{name}":{value},"#))
--- a/crates/node/tests/node/support/setup.rs
+++ b/crates/node/tests/node/support/setup.rs
@@ -1,4 +1,4 @@
-//! Nodes that run and have their first endpoint list.
+//! Starts nodes and sends them their first endpoint list.
 
 use super::config::NodeConfig;
 use super::discovery::{DiscoveryServer, in_service, snapshot};
@@ -7,10 +7,10 @@
 use super::settings::NodeSettings;
 use super::wait::wait_until;
 
-/// The index of the first list that a node is sent.
+/// The index of the first endpoint list that discovery sends to a node.
 pub(crate) const FIRST_LIST_INDEX: u64 = 8;
 
-/// How a node is started.
+/// Options for starting a node.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct NodeSetup {
     settings: NodeSettings,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Sets the number of descriptors for sockets that the configuration allows.
+    /// Sets the limit of descriptors for sockets in the configuration.
     pub(crate) fn sockets(self, sockets: u32) -> Self {
         NodeSetup {
             sockets: Some(sockets),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Sets the number of descriptors that the system allows.
+    /// Sets the limit of descriptors that the system imposes on the process.
     pub(crate) fn open_file_limit(self, descriptors: u32) -> Self {
         NodeSetup {
             open_file_limit: Some(descriptors),
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Leaves the log unread, with a full pipe.
+    /// Leaves the log unread and its socket full.
     pub(crate) fn unread_log(self) -> Self {
         NodeSetup {
             has_unread_log: true,
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Starts a node, sends it a list of these endpoints, and waits until it is ready. They are
-    /// named `s-0`, `s-1` and so on.
+    /// Starts a node, sends it a list of these endpoints and waits until it is ready. The endpoints
+    /// are named `s-0`, `s-1` and so on.
     pub(crate) fn start(self, endpoints: &[&ScriptedEndpoint]) -> (NodeProcess, DiscoveryServer) {
         let mut discovery = DiscoveryServer::start();
         let mut config = NodeConfig::new(discovery.address, &self.settings);
@@ -84,12 +84,12 @@
             .map(|(number, endpoint)| in_service(&format!("s-{number}"), endpoint.address))
             .collect();
         discovery.send_list(&snapshot(FIRST_LIST_INDEX, &entries));
-        wait_until(|| node.is_ready(), "readiness");
+        wait_until(|| node.is_ready(), "the node to become ready");
         (node, discovery)
     }
 }
 
-/// Starts a node with the default settings that is ready and has a list of these endpoints.
+/// Starts a node with the default settings. See [`NodeSetup::start`].
 pub(crate) fn start_node(endpoints: &[&ScriptedEndpoint]) -> (NodeProcess, DiscoveryServer) {
     NodeSetup::default().start(endpoints)
 }
--- a/crates/node/tests/node/support/wait.rs
+++ b/crates/node/tests/node/support/wait.rs
@@ -1,28 +1,28 @@
-//! Waiting for what no event reports.
+//! Waits for conditions that no event reports.
 
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// The longest time that a test waits for an event.
+/// How long a test waits for an event or a condition before it fails.
 pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The time between two looks at a condition.
+/// The interval between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Longer than the time after a response in which a connection may not be reused yet.
+/// Longer than the time after a response during which the node does not reuse a connection.
 const REUSE_DELAY: Duration = Duration::from_millis(30);
 
-/// Waits until a condition holds. Panics if it does not within [`TEST_TIMEOUT`]; `what` names it
-/// then.
-pub(crate) fn wait_until(mut holds: impl FnMut() -> bool, what: &str) {
+/// Waits until `holds` returns `true`. Panics if that takes longer than [`TEST_TIMEOUT`];
+/// `condition` describes the condition in the message.
+pub(crate) fn wait_until(mut holds: impl FnMut() -> bool, condition: &str) {
     let end = Instant::now() + TEST_TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < end, "waited in vain for {what}");
+        assert!(Instant::now() < end, "timed out waiting for {condition}");
         sleep(POLL_INTERVAL);
     }
 }
 
 /// Waits until a connection that has carried a response may be reused.
-pub(crate) fn wait_for_idle_connection() {
+pub(crate) fn wait_for_connection_reuse() {
     sleep(REUSE_DELAY);
 }
--- a/crates/simulator-adapter/src/simulated_node.rs
+++ b/crates/simulator-adapter/src/simulated_node.rs
@@ -43,8 +43,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the panic message if the balancer panicked. Its state may then be inconsistent, so it
-    /// must not be used again.
+    /// Returns the panic message if the balancer panicked. Its state may then be inconsistent, so
+    /// it must not be used again.
     pub(crate) fn handle(
         &mut self,
         now: Duration,
--- a/crates/simulator-adapter/src/wire/fields.rs
+++ b/crates/simulator-adapter/src/wire/fields.rs
@@ -7,7 +7,8 @@
 
 /// Reads big-endian fields from a byte slice.
 ///
-/// Each method returns the next field, or a [`TruncatedField`] if the slice ends before or within it.
+/// Each method returns the next field, or a [`TruncatedField`] if the slice ends before or within
+/// it.
 pub(super) struct FieldReader<'a> {
     /// The bytes that have not been read yet.
     remaining: &'a [u8],
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -263,8 +263,8 @@
     }
 }
 
-/// A header may declare a body of 4 GiB that never arrives. The adapter reports the end of the input
-/// instead of running out of memory.
+/// A header may declare a body of 4 GiB that never arrives. The adapter reports the end of the
+/// input instead of running out of memory.
 #[test]
 fn declared_length_does_not_allocate_memory() {
     let mut frame = Batch::new().frame(1);
