--- a/crates/node/tests/node/shutdown.rs
+++ b/crates/node/tests/node/shutdown.rs
@@ -80,10 +80,10 @@
     node.terminate();
     assert!(
         idle.wait_for_close(),
-        "idle connections should be closed at once"
+        "idle connections should be closed once the node sheds requests"
     );
-    // The rest arrives too late for the request to be served before the node must exit, so the node
-    // sheds it.
+    // The rest arrives too late for the request to be served before the node must exit. The node no
+    // longer serves further requests by then, but sheds them.
     for client in [&mut second_request, &mut first_request] {
         client.write(format!("{rest}sheet").as_bytes());
         let response = client
@@ -99,9 +99,9 @@
     assert_eq!(endpoint.request_count(), 2);
 }
 
-/// Some time after SIGTERM, namely after the longest deadline of any class, the node ends the
-/// requests that are still in flight. A client that waits for longer than that must still get a
-/// final response. A second SIGTERM changes nothing.
+/// After SIGTERM, the node waits for requests in flight for the longest deadline of any class, then
+/// ends them and exits. A client that would wait for longer must still get a final response. A
+/// second SIGTERM changes nothing.
 #[test]
 fn request_in_flight_at_forced_exit_gets_response() {
     let endpoint = ScriptedEndpoint::silent();
--- a/crates/node/tests/node/soak.rs
+++ b/crates/node/tests/node/soak.rs
@@ -185,6 +185,7 @@
 }
 
 impl RunCheck<'_> {
+    /// Checks one request.
     fn check(&self, request: &SentRequest) {
         match &request.response {
             None => self.check_without_response(request),
--- a/crates/node/tests/node/support/config.rs
+++ b/crates/node/tests/node/support/config.rs
@@ -24,6 +24,7 @@
     /// The default limit of descriptors for sockets.
     pub(crate) const DEFAULT_SOCKETS: u32 = 1024;
 
+    /// Creates a configuration with the defaults described at [`NodeConfig`].
     pub(crate) fn new(discovery: SocketAddr, settings: &NodeSettings) -> Self {
         NodeConfig {
             name: "n0",
--- a/crates/node/tests/node/support/setup.rs
+++ b/crates/node/tests/node/support/setup.rs
@@ -21,6 +21,7 @@
 }
 
 impl NodeSetup {
+    /// Creates options with these settings and no other changes.
     pub(crate) fn with_settings(settings: NodeSettings) -> Self {
         NodeSetup {
             settings,
