--- a/crates/node/src/downstream/request_error.rs
+++ b/crates/node/src/downstream/request_error.rs
@@ -37,8 +37,8 @@
     /// There is no X-Call-Id, or its length is not allowed.
     #[error("no X-Call-Id")]
     InvalidCallId,
-    /// There is no X-MemoryBudget-Ms, or it is not a number within the limits.
-    #[error("no X-MemoryBudget-Ms that makes sense")]
+    /// There is no X-Budget-Ms, or it is not a number within the limits.
+    #[error("no X-Budget-Ms that makes sense")]
     InvalidBudget,
     /// X-Caller names no tenant.
     #[error("unknown tenant")]
--- a/crates/node/tests/node/bad_input.rs
+++ b/crates/node/tests/node/bad_input.rs
@@ -84,6 +84,29 @@
     );
 }
 
+/// The text is the whole body of the response, and names the header that is missing or unusable.
+#[test]
+fn request_without_usable_budget_is_told_the_header_by_name() {
+    let endpoint = ScriptedEndpoint::serving("");
+    let (node, _discovery) = start_node(&[&endpoint]);
+    let headers = common_headers(5000);
+    let without_budget: String = headers
+        .split_inclusive("\r\n")
+        .filter(|line| !line.starts_with("X-Budget-Ms"))
+        .collect();
+    let unusable_budget = format!("{without_budget}X-Budget-Ms: soon\r\n");
+    for headers in [without_budget, unusable_budget] {
+        let response = node.client().request("GET /read/1", &headers, b"");
+        assert_eq!(response.status(), 400, "{headers}");
+        assert_eq!(
+            String::from_utf8_lossy(&response.body),
+            "no X-Budget-Ms that makes sense",
+            "{headers}"
+        );
+    }
+    assert_eq!(endpoint.request_count(), 0);
+}
+
 /// Beside a length, Transfer-Encoding may hide a second request in the body of the first. Nothing
 /// that follows on the connection is served.
 #[test]
