--- a/crates/balancer-simulation/src/fixtures.rs
+++ b/crates/balancer-simulation/src/fixtures.rs
@@ -1,8 +1,8 @@
 //! Settings, endpoints and load reports that tests have in common.
 
 use ottertiller_balancer::{
-    EndpointEntry, EndpointId, EndpointState, Idempotency, LoadReport, LoadReportSource,
-    RequestClass, Scope, Settings,
+    EndpointEntry, EndpointId, EndpointState, Idempotency, IdempotencyScope, LoadReport,
+    LoadReportSource, RequestClass, Settings,
 };
 use std::time::Duration;
 
@@ -85,17 +85,17 @@
     let classes = [
         Idempotency::Idempotent,
         Idempotency::NotIdempotent,
-        keyed(Scope::Zone),
-        keyed(Scope::Cell),
-        keyed(Scope::All),
+        keyed(IdempotencyScope::Zone),
+        keyed(IdempotencyScope::Cell),
+        keyed(IdempotencyScope::All),
     ];
     let mut settings = Settings {
         node_count: 3,
         classes: classes.map(class).to_vec(),
         ..Settings::default()
     };
-    settings.limits.cancel = true;
-    settings.limits.parallel_attempts = true;
+    settings.limits.allow_cancellation = true;
+    settings.limits.allow_parallel_attempts = true;
     settings
 }
 
@@ -103,7 +103,7 @@
 pub fn health_check_settings() -> Settings {
     let mut settings = settings();
     settings.load_reports = LoadReportSource::HealthChecks;
-    settings.limits.health_checks = true;
+    settings.limits.allow_health_checks = true;
     settings.cost_weights.health_check = 0.002;
     settings
 }
--- a/crates/balancer-simulation/src/fleet.rs
+++ b/crates/balancer-simulation/src/fleet.rs
@@ -109,10 +109,10 @@
 
     /// Returns the highest number of requests by which all nodes together exceeded the limit of an
     /// endpoint in slow start; it is not above 0 if they kept to the limits.
-    pub fn worst_overload(&self) -> f64 {
+    pub fn max_limit_excess(&self) -> f64 {
         self.endpoints
             .values()
-            .map(|endpoint| endpoint.worst_overload)
+            .map(|endpoint| endpoint.max_limit_excess)
             .fold(f64::MIN, f64::max)
     }
 
--- a/crates/balancer-simulation/src/fleet/endpoint.rs
+++ b/crates/balancer-simulation/src/fleet/endpoint.rs
@@ -13,7 +13,7 @@
     /// When requests were sent to it within the last overload window.
     recent: VecDeque<Duration>,
     /// The highest number of requests by which its limit in slow start was exceeded in a window.
-    pub(super) worst_overload: f64,
+    pub(super) max_limit_excess: f64,
     /// Requests that it has served.
     pub served: usize,
 }
@@ -24,7 +24,7 @@
             entry,
             free_at: now,
             recent: VecDeque::new(),
-            worst_overload: f64::MIN,
+            max_limit_excess: f64::MIN,
             served: 0,
         }
     }
@@ -70,7 +70,7 @@
         let allowed = rules.overload_factor * fraction * capacity * window;
         let limit = allowed + 2.0 * allowed.sqrt() + 2.0;
         let sent = self.recent.len() as f64;
-        self.worst_overload = self.worst_overload.max(sent - limit);
+        self.max_limit_excess = self.max_limit_excess.max(sent - limit);
     }
 
     /// Returns its own report of its requests in flight.
--- a/crates/balancer-simulation/src/node/invariants.rs
+++ b/crates/balancer-simulation/src/node/invariants.rs
@@ -9,7 +9,9 @@
 
 use super::NodeSimulation;
 use super::requests::{Attempt, RequestState};
-use ottertiller_balancer::{EndpointEntry, EndpointId, Idempotency, Outcome, RequestId, Scope};
+use ottertiller_balancer::{
+    EndpointEntry, EndpointId, Idempotency, IdempotencyScope, Outcome, RequestId,
+};
 use std::time::Duration;
 
 /// The time that a final response may be late by: the precision of timers.
@@ -36,7 +38,8 @@
         let may_be_shed = match self.settings.classes[request.class].idempotency {
             Idempotency::Idempotent
             | Idempotency::Keyed {
-                scope: Scope::All, ..
+                scope: IdempotencyScope::All,
+                ..
             } => true,
             _ => first_that_may_have_run(request).is_none(),
         };
@@ -46,7 +49,7 @@
     /// Checks that attempts may be cancelled.
     pub(super) fn check_cancellation(&self) {
         assert!(
-            self.settings.limits.cancel,
+            self.settings.limits.allow_cancellation,
             "cancels where that is not allowed"
         );
     }
@@ -54,7 +57,7 @@
     /// Checks that health checks may be sent.
     pub(super) fn check_health_check(&self) {
         assert!(
-            self.settings.limits.health_checks,
+            self.settings.limits.allow_health_checks,
             "health checks where they are not allowed"
         );
     }
@@ -86,7 +89,7 @@
             .iter()
             .any(|attempt| attempt.outcome.is_none());
         assert!(
-            !is_parallel || limits.parallel_attempts,
+            !is_parallel || limits.allow_parallel_attempts,
             "two attempts at once"
         );
         if let Some(first) = first_that_may_have_run(request) {
@@ -106,9 +109,9 @@
             Idempotency::Keyed { scope, window } => {
                 let home = &self.listed[&first.endpoint].entry;
                 let same_scope = match scope {
-                    Scope::All => true,
-                    Scope::Zone => home.zone == to.zone,
-                    Scope::Cell => home.cell == to.cell,
+                    IdempotencyScope::All => true,
+                    IdempotencyScope::Zone => home.zone == to.zone,
+                    IdempotencyScope::Cell => home.cell == to.cell,
                 };
                 same_scope && self.now <= first.started + window
             }
--- a/crates/balancer/src/backoff.rs
+++ b/crates/balancer/src/backoff.rs
@@ -32,7 +32,7 @@
     /// together do not call together.
     pub fn next_wait(&mut self, random: &mut Random) -> Duration {
         self.wait = (2 * self.wait).clamp(self.shortest, self.longest);
-        self.wait.mul_f64(0.5 + random.unit() / 2.0)
+        self.wait.mul_f64(0.5 + random.uniform() / 2.0)
     }
 }
 
--- a/crates/balancer/src/balancer/endpoint_list.rs
+++ b/crates/balancer/src/balancer/endpoint_list.rs
@@ -39,7 +39,7 @@
 
     fn apply_endpoint_list(&mut self, kind: ListKind, entries: Vec<EndpointEntry>) {
         let send_count = self.endpoints.mean_send_count(self.subset_size());
-        let had_endpoints = self.endpoints.has_listed_endpoints();
+        let had_endpoints = self.endpoints.has_ever_listed_endpoints();
         let (start_times, now) = (&self.start_times, self.now);
         self.endpoints.apply(kind, entries, |entry| {
             let started = start_times.resolve(entry, had_endpoints, now);
--- a/crates/balancer/src/balancer/life_cycle.rs
+++ b/crates/balancer/src/balancer/life_cycle.rs
@@ -109,7 +109,7 @@
             return;
         };
         let may_cancel = !request.stage.is_closed() && !request.stage.is_streaming();
-        if may_cancel && self.settings.limits.cancel {
+        if may_cancel && self.settings.limits.allow_cancellation {
             for (number, attempt) in (0..).zip(&request.attempts) {
                 if attempt.is_in_flight() {
                     actions.push(Action::CancelAttempt {
--- a/crates/balancer/src/balancer/routing.rs
+++ b/crates/balancer/src/balancer/routing.rs
@@ -51,8 +51,8 @@
     /// Decides where a request goes, and carries the decision out.
     pub(super) fn route(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let draws = Draws {
-            admission: self.random.unit(),
-            pick: self.random.unit(),
+            admission: self.random.uniform(),
+            pick: self.random.uniform(),
         };
         let subset_size = self.subset_size();
         self.slow_start
--- a/crates/balancer/src/endpoint.rs
+++ b/crates/balancer/src/endpoint.rs
@@ -57,7 +57,7 @@
     /// The requests in flight at the endpoint.
     pub in_flight: Option<f32>,
     /// The requests that wait in its queue.
-    pub queue: Option<f32>,
+    pub queue_length: Option<f32>,
     /// The fraction of its processors in use, from 0 to 1.
     pub utilisation: Option<f32>,
     /// Its recent mean service time, in milliseconds.
@@ -65,5 +65,5 @@
     /// Its responses per second.
     pub throughput: Option<f32>,
     /// Its errors per second.
-    pub errors: Option<f32>,
+    pub errors_per_s: Option<f32>,
 }
--- a/crates/balancer/src/endpoint_polling.rs
+++ b/crates/balancer/src/endpoint_polling.rs
@@ -47,7 +47,7 @@
 
     /// Schedules the first call of a node that has just started.
     pub(crate) fn start(&mut self, now: Duration, random: &mut Random) {
-        let spread = self.interval.mul_f64(random.unit() * FIRST_CALL_SPREAD);
+        let spread = self.interval.mul_f64(random.uniform() * FIRST_CALL_SPREAD);
         self.next_call = Some(now + spread);
     }
 
--- a/crates/balancer/src/endpoints/endpoint_set.rs
+++ b/crates/balancer/src/endpoints/endpoint_set.rs
@@ -10,7 +10,7 @@
     by_id: BTreeMap<EndpointId, Endpoint>,
     ready: Ring,
     /// Whether any list so far has had endpoints.
-    has_listed_endpoints: bool,
+    has_ever_listed_endpoints: bool,
 }
 
 impl EndpointSet {
@@ -19,7 +19,7 @@
         EndpointSet {
             by_id: BTreeMap::new(),
             ready: Ring::new(settings),
-            has_listed_endpoints: false,
+            has_ever_listed_endpoints: false,
         }
     }
 
@@ -61,8 +61,8 @@
 
     /// Returns whether any list so far has had endpoints. What appears after that was not listed
     /// before.
-    pub(crate) fn has_listed_endpoints(&self) -> bool {
-        self.has_listed_endpoints
+    pub(crate) fn has_ever_listed_endpoints(&self) -> bool {
+        self.has_ever_listed_endpoints
     }
 
     /// Applies entries of the list. `new_endpoint` returns the state of an endpoint that is new or
@@ -74,7 +74,7 @@
         new_endpoint: impl Fn(&EndpointEntry) -> Endpoint,
     ) {
         let is_whole_list = kind != ListKind::Delta;
-        self.has_listed_endpoints |= !entries.is_empty();
+        self.has_ever_listed_endpoints |= !entries.is_empty();
         if is_whole_list {
             self.by_id
                 .values_mut()
--- a/crates/balancer/src/endpoints/health.rs
+++ b/crates/balancer/src/endpoints/health.rs
@@ -19,7 +19,7 @@
 
 impl HealthSignal {
     /// Returns how much of a failure it is, from 0 to 1.
-    pub(crate) fn failure(self) -> f64 {
+    pub(crate) fn failure_score(self) -> f64 {
         match self {
             HealthSignal::Responded => 0.0,
             HealthSignal::RespondedLate => 0.5,
@@ -69,7 +69,11 @@
 
     /// Takes a signal into its failure rate.
     pub(crate) fn record(&mut self, signal: HealthSignal) {
-        smooth(&mut self.failure_rate, signal.failure(), signal.weight());
+        smooth(
+            &mut self.failure_rate,
+            signal.failure_score(),
+            signal.weight(),
+        );
     }
 
     /// Ejects it.
--- a/crates/balancer/src/endpoints/reported_load.rs
+++ b/crates/balancer/src/endpoints/reported_load.rs
@@ -6,7 +6,7 @@
 /// Returns the load that a report tells of: the requests in flight, or, where that is missing,
 /// those that wait in the queue.
 pub(crate) fn reported_load(report: &LoadReport) -> Option<f64> {
-    report.in_flight.or(report.queue).map(f64::from)
+    report.in_flight.or(report.queue_length).map(f64::from)
 }
 
 /// The last load that an endpoint reported.
--- a/crates/balancer/src/estimates.rs
+++ b/crates/balancer/src/estimates.rs
@@ -7,5 +7,5 @@
 mod response_times;
 
 pub(crate) use declared_work::DeclaredWork;
-pub(crate) use endpoint_share::EndpointShare;
+pub(crate) use endpoint_share::WarmEndpointRate;
 pub(crate) use response_times::ResponseTimes;
--- a/crates/balancer/src/estimates/endpoint_share.rs
+++ b/crates/balancer/src/estimates/endpoint_share.rs
@@ -8,7 +8,7 @@
 const MIN_PEAK_WINDOW: Seconds = Seconds::new(1e-3);
 
 /// The work per second that a warm endpoint serves for this node, in multiples of a mean request's.
-pub(crate) struct EndpointShare {
+pub(crate) struct WarmEndpointRate {
     /// When this node started.
     started: Duration,
     /// Work that arrived.
@@ -21,11 +21,11 @@
     peak_window: Seconds,
 }
 
-impl EndpointShare {
+impl WarmEndpointRate {
     /// Returns a share of zero.
     pub(crate) fn new(settings: &Settings) -> Self {
         let rate_window = settings.rate_window();
-        EndpointShare {
+        WarmEndpointRate {
             started: Duration::ZERO,
             arrived: DecayingRate::new(rate_window),
             served: DecayingRate::new(rate_window),
--- a/crates/balancer/src/health/active_check.rs
+++ b/crates/balancer/src/health/active_check.rs
@@ -81,7 +81,7 @@
         actions: &mut Vec<Action>,
     ) -> bool {
         for _ in 0..CHECKS_PER_REQUEST {
-            let index = (random.unit() * targets.len() as f64) as usize;
+            let index = (random.uniform() * targets.len() as f64) as usize;
             if index >= targets.len() {
                 break;
             }
--- a/crates/balancer/src/health/outlier_ejection.rs
+++ b/crates/balancer/src/health/outlier_ejection.rs
@@ -50,8 +50,12 @@
     /// that was ejected.
     pub(crate) fn record(&mut self, endpoint: &mut Endpoint, signal: HealthSignal) -> Verdict {
         endpoint.health.record(signal);
-        smooth(&mut self.failure_rate, signal.failure(), SMOOTHING / 2.0);
-        if signal.failure() < 1.0 {
+        smooth(
+            &mut self.failure_rate,
+            signal.failure_score(),
+            SMOOTHING / 2.0,
+        );
+        if signal.failure_score() < 1.0 {
             endpoint.health.restore();
             return Verdict::Keep;
         }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -32,8 +32,8 @@
 pub use numeric::Random;
 pub use request::{AttemptEnd, NewRequest, Outcome, RequestId};
 pub use settings::{
-    CostWeights, Idempotency, Limits, LoadReportSource, ObjectiveWeights, RequestClass, Rules,
-    Scope, Settings, SettingsError, Tenant,
+    CostWeights, Idempotency, IdempotencyScope, Limits, LoadReportSource, ObjectiveWeights,
+    RequestClass, Rules, Settings, SettingsError, Tenant,
 };
 pub use timer::Timer;
 
--- a/crates/balancer/src/numeric/random.rs
+++ b/crates/balancer/src/numeric/random.rs
@@ -13,7 +13,7 @@
     }
 
     /// Returns a random number from 0 up to, but not including, 1.
-    pub fn unit(&mut self) -> f64 {
+    pub fn uniform(&mut self) -> f64 {
         f64::from(self.0.next_u32()) / 2f64.powi(32)
     }
 }
--- a/crates/balancer/src/priority.rs
+++ b/crates/balancer/src/priority.rs
@@ -41,7 +41,7 @@
                 .collect(),
             over_quota_weight: settings.over_quota_weight,
             worst_class: settings.objective_weights.worst_class,
-            whole: settings.objective_weights.whole.max(MIN_WHOLE_WEIGHT),
+            whole: settings.objective_weights.overall.max(MIN_WHOLE_WEIGHT),
             mean_weight: class_weights.iter().sum::<f64>() / class_weights.len().max(1) as f64,
             class_weights,
         }
--- a/crates/balancer/src/retry/hedging.rs
+++ b/crates/balancer/src/retry/hedging.rs
@@ -46,7 +46,7 @@
     /// Returns what the settings permit.
     pub(crate) fn new(settings: &Settings) -> Self {
         Hedging {
-            parallel_attempts: settings.limits.parallel_attempts,
+            parallel_attempts: settings.limits.allow_parallel_attempts,
             tick: settings.tick,
         }
     }
--- a/crates/balancer/src/retry/idempotency.rs
+++ b/crates/balancer/src/retry/idempotency.rs
@@ -3,7 +3,7 @@
 //! scope and a time window.
 
 use crate::requests::{Attempt, PendingRequest};
-use crate::{EndpointEntry, Idempotency, Scope};
+use crate::{EndpointEntry, Idempotency, IdempotencyScope};
 use std::time::Duration;
 
 /// Returns whether the request may be sent to this endpoint, given the attempts that may have run.
@@ -24,11 +24,11 @@
     }
 }
 
-fn shares_keys(scope: Scope, one: &EndpointEntry, other: &EndpointEntry) -> bool {
+fn shares_keys(scope: IdempotencyScope, one: &EndpointEntry, other: &EndpointEntry) -> bool {
     match scope {
-        Scope::All => true,
-        Scope::Zone => one.zone == other.zone,
-        Scope::Cell => one.cell == other.cell,
+        IdempotencyScope::All => true,
+        IdempotencyScope::Zone => one.zone == other.zone,
+        IdempotencyScope::Cell => one.cell == other.cell,
     }
 }
 
@@ -53,7 +53,8 @@
     match request.idempotency {
         Idempotency::Idempotent
         | Idempotency::Keyed {
-            scope: Scope::All, ..
+            scope: IdempotencyScope::All,
+            ..
         } => true,
         _ => !request.attempts.iter().any(Attempt::may_have_run),
     }
--- a/crates/balancer/src/routing/slow_start.rs
+++ b/crates/balancer/src/routing/slow_start.rs
@@ -7,7 +7,7 @@
 //! hundreds of quiet nodes could save up would otherwise be spent in one burst.
 
 use crate::endpoints::{Endpoint, EndpointSet, Permit};
-use crate::estimates::EndpointShare;
+use crate::estimates::WarmEndpointRate;
 use crate::numeric::Random;
 use crate::routing::starting_capacity::StartingCapacity;
 use crate::routing::subset::NEIGHBORHOOD;
@@ -36,7 +36,7 @@
     load_factor: f64,
     permit_lifetime: Duration,
     /// The work that a warm endpoint serves for this node.
-    share: EndpointShare,
+    share: WarmEndpointRate,
 }
 
 impl SlowStart {
@@ -47,7 +47,7 @@
             capacity: StartingCapacity::new(rules),
             load_factor: load_factor(rules),
             permit_lifetime: rules.overload_window / 2,
-            share: EndpointShare::new(settings),
+            share: WarmEndpointRate::new(settings),
         }
     }
 
@@ -90,7 +90,7 @@
             .collect();
         self.update_share(endpoints, subset_size, now);
         for id in starting {
-            let draw = random.unit();
+            let draw = random.uniform();
             let Some(endpoint) = endpoints.get_mut(id) else {
                 continue;
             };
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -14,6 +14,6 @@
 pub use load_report_column::LoadReportColumn;
 pub use millis::millis;
 pub use model::{
-    CostWeights, Idempotency, Limits, LoadReportSource, ObjectiveWeights, RequestClass, Rules,
-    Scope, Settings, Tenant,
+    CostWeights, Idempotency, IdempotencyScope, Limits, LoadReportSource, ObjectiveWeights,
+    RequestClass, Rules, Settings, Tenant,
 };
--- a/crates/balancer/src/settings/load_report_column.rs
+++ b/crates/balancer/src/settings/load_report_column.rs
@@ -11,7 +11,7 @@
     InFlight,
     /// The requests that wait in the queue.
     #[serde(rename = "depth")]
-    Queue,
+    QueueLength,
     /// The fraction of its processors in use.
     #[serde(rename = "load_share")]
     Utilisation,
@@ -23,7 +23,7 @@
     Throughput,
     /// The errors per second.
     #[serde(rename = "err_ps")]
-    Errors,
+    ErrorsPerS,
     /// A value that this version does not know.
     #[serde(other)]
     Unknown,
@@ -35,11 +35,11 @@
     pub fn from_report_name(name: &str) -> Self {
         match name {
             "concurrent" | "inflight" => LoadReportColumn::InFlight,
-            "depth" | "queue" => LoadReportColumn::Queue,
+            "depth" | "queue" => LoadReportColumn::QueueLength,
             "load_share" | "util" => LoadReportColumn::Utilisation,
             "mean_ms" | "latency_ms" => LoadReportColumn::LatencyMs,
             "tps" | "qps" => LoadReportColumn::Throughput,
-            "err_ps" | "eps" => LoadReportColumn::Errors,
+            "err_ps" | "eps" => LoadReportColumn::ErrorsPerS,
             _ => LoadReportColumn::Unknown,
         }
     }
@@ -48,11 +48,11 @@
     pub fn set(self, report: &mut LoadReport, value: f32) {
         let field = match self {
             LoadReportColumn::InFlight => &mut report.in_flight,
-            LoadReportColumn::Queue => &mut report.queue,
+            LoadReportColumn::QueueLength => &mut report.queue_length,
             LoadReportColumn::Utilisation => &mut report.utilisation,
             LoadReportColumn::LatencyMs => &mut report.latency_ms,
             LoadReportColumn::Throughput => &mut report.throughput,
-            LoadReportColumn::Errors => &mut report.errors,
+            LoadReportColumn::ErrorsPerS => &mut report.errors_per_s,
             LoadReportColumn::Unknown => return,
         };
         *field = value.is_finite().then_some(value);
--- a/crates/balancer/src/settings/model.rs
+++ b/crates/balancer/src/settings/model.rs
@@ -70,7 +70,7 @@
     /// Endpoints drop repeats of its idempotency key, within a scope and for a time.
     Keyed {
         /// The endpoints that share their idempotency keys.
-        scope: Scope,
+        scope: IdempotencyScope,
         /// How long they keep a key, from the start of the first attempt that may have run.
         window: Duration,
     },
@@ -80,7 +80,7 @@
 
 /// The endpoints that drop the repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum IdempotencyScope {
     /// All endpoints.
     All,
     /// The endpoints of one zone.
@@ -116,11 +116,11 @@
     /// The most attempts at a request, hedged ones included.
     pub max_attempts: u32,
     /// Whether an attempt may be cancelled.
-    pub cancel: bool,
+    pub allow_cancellation: bool,
     /// Whether endpoints may be health-checked.
-    pub health_checks: bool,
+    pub allow_health_checks: bool,
     /// Whether two attempts of a request may be in flight at once (hedged requests).
-    pub parallel_attempts: bool,
+    pub allow_parallel_attempts: bool,
     /// The longest `Retry-After` that clients obey; `None` if they do not know that header.
     pub max_retry_after: Option<Duration>,
     /// The time after which a connection that is not established has failed.
@@ -167,7 +167,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ObjectiveWeights {
     /// The service over the whole time.
-    pub whole: f64,
+    pub overall: f64,
     /// The service in the worst time window.
     /// It is read from the settings, and no decision uses it.
     pub worst_window: f64,
@@ -181,7 +181,7 @@
 impl Settings {
     /// Returns whether endpoints report their load to health checks, and only to them.
     pub(crate) fn loads_are_polled(&self) -> bool {
-        self.load_reports == LoadReportSource::HealthChecks && self.limits.health_checks
+        self.load_reports == LoadReportSource::HealthChecks && self.limits.allow_health_checks
     }
 
     /// Returns the window over which rates are taken: a few of those in which a starting endpoint
@@ -215,9 +215,9 @@
             load_reports: LoadReportSource::None,
             limits: Limits {
                 max_attempts: 3,
-                cancel: false,
-                health_checks: false,
-                parallel_attempts: false,
+                allow_cancellation: false,
+                allow_health_checks: false,
+                allow_parallel_attempts: false,
                 max_retry_after: None,
                 connect_timeout: Duration::from_millis(250),
             },
@@ -231,7 +231,7 @@
             },
             cost_weights: CostWeights::default(),
             objective_weights: ObjectiveWeights {
-                whole: 1.0,
+                overall: 1.0,
                 ..ObjectiveWeights::default()
             },
             poll_endpoints: false,
--- a/crates/balancer/src/settings/schema/class.rs
+++ b/crates/balancer/src/settings/schema/class.rs
@@ -2,7 +2,7 @@
 
 use super::one;
 use crate::settings::millis::millis;
-use crate::settings::model::{Idempotency, RequestClass, Scope};
+use crate::settings::model::{Idempotency, IdempotencyScope, RequestClass};
 use serde::Deserialize;
 
 /// A class of requests.
@@ -74,12 +74,12 @@
     }
 }
 
-impl From<&GroupSchema> for Scope {
+impl From<&GroupSchema> for IdempotencyScope {
     fn from(schema: &GroupSchema) -> Self {
         match schema {
-            GroupSchema::All => Scope::All,
-            GroupSchema::Zone => Scope::Zone,
-            GroupSchema::Cell => Scope::Cell,
+            GroupSchema::All => IdempotencyScope::All,
+            GroupSchema::Zone => IdempotencyScope::Zone,
+            GroupSchema::Cell => IdempotencyScope::Cell,
         }
     }
 }
--- a/crates/balancer/src/settings/schema/permissions.rs
+++ b/crates/balancer/src/settings/schema/permissions.rs
@@ -37,9 +37,9 @@
     fn from(schema: &PermissionsSchema) -> Self {
         Limits {
             max_attempts: schema.attempts_cap,
-            cancel: schema.cancel,
-            health_checks: schema.probes,
-            parallel_attempts: schema.parallel_tries,
+            allow_cancellation: schema.cancel,
+            allow_health_checks: schema.probes,
+            allow_parallel_attempts: schema.parallel_tries,
             max_retry_after: schema.retry_after.then(|| millis(schema.max_retry_after)),
             connect_timeout: millis(schema.connect_timeout),
         }
--- a/crates/balancer/src/settings/schema/weights.rs
+++ b/crates/balancer/src/settings/schema/weights.rs
@@ -40,7 +40,7 @@
 impl From<&GoalSchema> for ObjectiveWeights {
     fn from(schema: &GoalSchema) -> Self {
         ObjectiveWeights {
-            whole: schema.whole,
+            overall: schema.whole,
             worst_window: schema.worst_window,
             worst_class: schema.worst_class,
             worst_tenant: schema.worst_tenant,
--- a/crates/balancer/tests/action_digest.rs
+++ b/crates/balancer/tests/action_digest.rs
@@ -128,8 +128,8 @@
 #[test]
 fn digests_unchanged_without_parallel_or_cancelled_attempts() {
     let mut settings = with_tenants(response_report_settings(), false);
-    settings.limits.parallel_attempts = false;
-    settings.limits.cancel = false;
+    settings.limits.allow_parallel_attempts = false;
+    settings.limits.allow_cancellation = false;
     for class in &mut settings.classes {
         class.late_weight = 0.3;
     }
--- a/crates/balancer/tests/decisions/hedging.rs
+++ b/crates/balancer/tests/decisions/hedging.rs
@@ -20,7 +20,7 @@
     ] {
         for parallel in [false, true] {
             let mut settings = response_report_settings();
-            settings.limits.parallel_attempts = parallel;
+            settings.limits.allow_parallel_attempts = parallel;
             let mut node = NodeSimulation::with_endpoints(settings, 6);
             play_requests(&mut node, 100, |_| Outcome::Served); // responses take 30 ms
             let (id, _) = node.request(class);
@@ -41,7 +41,7 @@
 fn single_attempt_is_cancelled_only_in_time_for_next() {
     for class in [IDEMPOTENT, KEYED_EVERYWHERE] {
         let mut settings = response_report_settings();
-        settings.limits.parallel_attempts = false;
+        settings.limits.allow_parallel_attempts = false;
         let mut node = NodeSimulation::with_endpoints(settings, 6);
         // Responses take 30 ms, and nearly all would within 120.
         play_requests(&mut node, 300, |_| Outcome::Served);
--- a/crates/balancer/tests/decisions/late_attempts.rs
+++ b/crates/balancer/tests/decisions/late_attempts.rs
@@ -10,7 +10,7 @@
 /// Returns settings by which a request has one attempt in flight at a time.
 fn sequential_attempt_settings() -> Settings {
     let mut settings = response_report_settings();
-    settings.limits.parallel_attempts = false;
+    settings.limits.allow_parallel_attempts = false;
     settings
 }
 
--- a/crates/balancer/tests/decisions/late_events.rs
+++ b/crates/balancer/tests/decisions/late_events.rs
@@ -89,7 +89,7 @@
     ] {
         for cancel in [true, false] {
             let mut settings = response_report_settings();
-            settings.limits.cancel = cancel;
+            settings.limits.allow_cancellation = cancel;
             let mut node = NodeSimulation::with_endpoints(settings, 4);
             let (waiting, actions) = node.request(IDEMPOTENT);
             assert_eq!(count_attempts(&actions), 1);
--- a/crates/balancer/tests/decisions/unusual_settings.rs
+++ b/crates/balancer/tests/decisions/unusual_settings.rs
@@ -18,7 +18,7 @@
         ..health_check_settings()
     };
     let mut no_load_reports = health_check_settings();
-    no_load_reports.limits.health_checks = false;
+    no_load_reports.limits.allow_health_checks = false;
     let no_reports_at_all = settings();
     let mut no_slow_start = response_report_settings();
     no_slow_start.rules = Rules {
--- a/crates/balancer/tests/fleet_slow_start.rs
+++ b/crates/balancer/tests/fleet_slow_start.rs
@@ -33,7 +33,7 @@
         classes: vec![class(Idempotency::Idempotent)],
         ..Settings::default()
     };
-    settings.limits.cancel = true;
+    settings.limits.allow_cancellation = true;
     settings.rules = Rules {
         initial_capacity: INITIAL_CAPACITY,
         slow_start_window: SLOW_START_WINDOW,
@@ -99,7 +99,7 @@
                 load,
                 seed,
             };
-            let overload = rolling_deployment(case).worst_overload();
+            let overload = rolling_deployment(case).max_limit_excess();
             assert!(overload <= 0.0, "{case:?}: {overload} too many");
         }
     }
@@ -161,7 +161,7 @@
             fleet.advance(WARM_UP);
             replace_half_of_endpoints(&mut fleet, endpoints);
             fleet.advance(OBSERVED_TIME);
-            let overload = fleet.worst_overload();
+            let overload = fleet.max_limit_excess();
             assert!(
                 overload <= 0.0,
                 "{case:?}, clock stepped by {clock_step_ms} ms: {overload} too many"
--- a/crates/balancer/tests/properties/invariants.rs
+++ b/crates/balancer/tests/properties/invariants.rs
@@ -234,7 +234,7 @@
     #[test]
     fn invariants_hold_with_response_reports(seed: u64, steps in history()) {
         let mut settings = response_report_settings();
-        settings.limits.parallel_attempts = false;
+        settings.limits.allow_parallel_attempts = false;
         settings.rules.drain_grace = ms(0);
         settings.poll_endpoints = true;
         play(settings, seed, &steps);
@@ -243,7 +243,7 @@
     #[test]
     fn invariants_hold_with_minimal_limits(seed: u64, steps in history()) {
         let mut settings = settings();
-        settings.limits = Limits { max_attempts: 1, cancel: false, ..Settings::default().limits };
+        settings.limits = Limits { max_attempts: 1, allow_cancellation: false, ..Settings::default().limits };
         settings.node_count = 1;
         settings.rules.drain_grace = ms(0);
         play(settings, seed, &steps);
--- a/crates/node/tests/example_config.rs
+++ b/crates/node/tests/example_config.rs
@@ -57,7 +57,7 @@
     assert_eq!(settings.node_count, 2);
     assert_eq!(settings.load_reports, LoadReportSource::Responses);
     assert_eq!(settings.limits.max_attempts, 3);
-    assert!(settings.limits.parallel_attempts && settings.limits.max_retry_after.is_some());
+    assert!(settings.limits.allow_parallel_attempts && settings.limits.max_retry_after.is_some());
     let classes = settings.classes.iter();
     let idempotency: Vec<Idempotency> = classes.map(|class| class.idempotency).collect();
     assert_eq!(idempotency[0], Idempotency::Idempotent);
