--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,9 +1,14 @@
-//! The balancer of one node: a state machine that is given events, and returns the actions to take.
+//! The balancer of one node: a state machine that takes events and returns the actions for its
+//! host.
 //!
-//! It passes each event on and decides nothing itself. `life_cycle` follows a request from its
-//! arrival to its end, `eligibility` holds the rules on sending it, `routing` chooses its endpoint,
-//! `rejection` ends it unserved, `feedback` records what sends and responses tell, and
-//! `endpoint_list` applies the list from discovery.
+//! This module dispatches each event and makes no decision itself:
+//!
+//! - `life_cycle` follows a request from its arrival to its end.
+//! - `eligibility` holds the rules that every attempt must satisfy.
+//! - `routing` selects the endpoint of a request.
+//! - `rejection` sheds or fails a request that no endpoint serves.
+//! - `feedback` records the results of attempts and health checks.
+//! - `endpoint_list` applies the endpoint list from discovery.
 
 mod eligibility;
 mod endpoint_list;
@@ -33,11 +38,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The decisions of one node.
+/// Makes the load-balancing decisions of one node.
 pub struct Balancer {
     settings: Settings,
     random: Random,
-    /// The time of the last event; zero before the first.
+    /// The time of the last event; zero before the first event.
     now: Duration,
     endpoints: EndpointSet,
     requests: BTreeMap<RequestId, PendingRequest>,
@@ -65,13 +70,13 @@
     pub endpoints: usize,
     /// Requests that await their final response or the end of an attempt.
     pub requests: usize,
-    /// Those of them that are queued until a health check has ended.
+    /// The part of `requests` that is queued until a health check ends.
     pub queued: usize,
 }
 
 impl Balancer {
-    /// Returns the balancer of a node that has just started. `seed` determines all its random
-    /// choices.
+    /// Returns the balancer of a node that has just started. `seed` determines all of its random
+    /// numbers.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Balancer {
             random: Random::new(seed),
@@ -97,13 +102,14 @@
         }
     }
 
-    /// Handles an event that happened at `now`, and appends the actions to take to `actions`, in
-    /// order.
+    /// Handles an event that happened at `now`, and appends the actions for the host to `actions`,
+    /// in order.
     ///
-    /// `now` is the time since some fixed moment of the host's monotonic clock. An earlier time
-    /// than that of the event before counts as that time.
+    /// `now` is the time since a fixed point of the host's monotonic clock. If it is earlier than
+    /// the time of the previous event, the previous time is used.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         let is_first = self.now.is_zero();
+        // At least 1 ns, since zero stands for "no event yet".
         self.now = now.max(self.now).max(Duration::from_nanos(1));
         if is_first {
             self.start(actions);
@@ -120,8 +126,8 @@
         }
     }
 
-    /// Returns the number of entries in its tables. Endpoints leave with the list, requests with
-    /// the end of their last attempt.
+    /// Returns the number of entries in the tables of this balancer. An endpoint is removed when
+    /// it leaves the endpoint list, a closed request when its last attempt has ended.
     pub fn table_sizes(&self) -> TableSizes {
         TableSizes {
             endpoints: self.endpoints.len(),
@@ -130,6 +136,7 @@
         }
     }
 
+    /// Initializes the time-dependent state at the first event.
     fn start(&mut self, actions: &mut Vec<Action>) {
         self.slow_start.start(self.now);
         if self.settings.poll_endpoints {
@@ -138,7 +145,7 @@
         }
     }
 
-    /// Returns how many of the ready endpoints this node uses.
+    /// Returns the number of ready endpoints in this node's subset.
     fn subset_size(&self) -> usize {
         self.subset.size(
             self.endpoints.ready_count(),
@@ -147,7 +154,7 @@
         )
     }
 
-    /// Returns the loads of the endpoints as they are known now.
+    /// Returns the estimates of endpoint loads at the present time.
     fn load_snapshot(&self) -> LoadSnapshot {
         LoadSnapshot::new(
             self.settings.loads_are_polled(),
--- a/crates/balancer/src/balancer/eligibility.rs
+++ b/crates/balancer/src/balancer/eligibility.rs
@@ -1,4 +1,5 @@
-//! The rules on where and when a request may be sent, which nothing relaxes.
+//! The rules that every attempt must satisfy: where and when a request may be sent. No other
+//! decision overrides them.
 
 use super::Balancer;
 use crate::EndpointState;
@@ -7,8 +8,11 @@
 use crate::retry::idempotency;
 
 impl Balancer {
-    /// Returns whether a request may be sent to an endpoint: one that is ready and not draining, is
-    /// warm or has a permit, may run the request (again), and was not tried for it before.
+    /// Returns whether a request may be sent to an endpoint.
+    ///
+    /// The endpoint must be ready, so not draining, and either warm or holding a permit. The
+    /// idempotency of the request must allow an attempt there, and no earlier attempt at the
+    /// request may have been sent to it.
     pub(super) fn is_eligible(&self, endpoint: &Endpoint, request: &PendingRequest) -> bool {
         endpoint.entry.state == EndpointState::Ready
             && self
@@ -18,13 +22,13 @@
             && !request.was_sent_to(&endpoint.entry)
     }
 
-    /// Returns whether an attempt at a request may start now, beside those in flight.
+    /// Returns whether an attempt at a request may start now, given its attempts in flight.
     pub(super) fn allows_parallel_attempt(&self, request: &PendingRequest) -> bool {
         self.hedging
             .allows_attempt(request, self.response_times.median(), self.now)
     }
 
-    /// Returns whether an attempt at a request may be sent to this endpoint now.
+    /// Returns whether all rules allow an attempt at a request at this endpoint now.
     pub(super) fn may_start_attempt(&self, request: &PendingRequest, endpoint: &Endpoint) -> bool {
         let max_attempts = self.settings.limits.max_attempts.max(1) as usize;
         !request.stage.is_closed()
--- a/crates/balancer/src/balancer/feedback.rs
+++ b/crates/balancer/src/balancer/feedback.rs
@@ -1,15 +1,15 @@
-//! What the balancer records of sends, responses and health checks.
+//! Records the results of attempts and health checks.
 
 use super::Balancer;
 use crate::endpoints::{HealthSignal, ReportedLoad, reported_load};
 use crate::health::observation::{ClassContext, Observation};
 use crate::health::outlier_ejection;
 use crate::requests::Attempt;
-use crate::routing::subset::NEIGHBORHOOD;
+use crate::routing::subset::NEIGHBORHOOD_FACTOR;
 use crate::{Action, AttemptEnd, EndpointId, HealthCheckEnd, LoadReport, Outcome, RequestId};
 
 impl Balancer {
-    /// Records an attempt that was started.
+    /// Records an attempt that has started.
     pub(super) fn record_attempt(&mut self, id: RequestId, attempt: Attempt) {
         if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint.id) {
             endpoint.in_flight += 1;
@@ -26,7 +26,7 @@
         self.queued.remove(id);
     }
 
-    /// Records what the end of an attempt says of its endpoint.
+    /// Updates the estimates and the state of the endpoint with the result of an attempt.
     pub(super) fn record_attempt_end(&mut self, end: &AttemptEnd) {
         let Some(request) = self.requests.get(&end.id) else {
             return;
@@ -61,6 +61,8 @@
         }
     }
 
+    /// Records the result of a health check, and routes the queued requests again. After the last
+    /// health check in flight, no request stays queued.
     pub(super) fn on_health_check_ended(&mut self, end: HealthCheckEnd, actions: &mut Vec<Action>) {
         if let Some(endpoint) = self.endpoints.get_mut(end.endpoint) {
             endpoint.check_in_flight = false;
@@ -70,15 +72,16 @@
         if end.outcome == Outcome::ConnectFailed {
             self.record_health(end.endpoint, HealthSignal::Unreachable);
         }
-        let was_last = self.active_checks.record_end();
+        let was_last_in_flight = self.active_checks.record_end();
         for id in self.queued.ids().to_vec() {
-            if was_last {
+            if was_last_in_flight {
                 self.queued.remove(id);
             }
             self.route(id, actions);
         }
     }
 
+    /// Records the load in a report, if there is one.
     fn record_report(&mut self, id: EndpointId, report: Option<LoadReport>, served: bool) {
         let Some(load) = report.as_ref().and_then(reported_load) else {
             return;
@@ -91,13 +94,14 @@
             .record_report(endpoint, load, served, self.now);
     }
 
+    /// Records a health signal of an endpoint, and ejects the endpoint if that follows from it.
     fn record_health(&mut self, id: EndpointId, signal: HealthSignal) {
-        let nearby = NEIGHBORHOOD * self.subset_size();
+        let neighborhood_size = NEIGHBORHOOD_FACTOR * self.subset_size();
         let Some(endpoint) = self.endpoints.get_mut(id) else {
             return;
         };
-        let verdict = self.outliers.record(endpoint, signal);
-        if !outlier_ejection::allows_ejection(verdict, &self.endpoints, nearby) {
+        let advice = self.outliers.record(endpoint, signal);
+        if !outlier_ejection::should_eject(advice, &self.endpoints, neighborhood_size) {
             return;
         }
         if let Some(endpoint) = self.endpoints.get_mut(id) {
--- a/crates/balancer/src/balancer/life_cycle.rs
+++ b/crates/balancer/src/balancer/life_cycle.rs
@@ -6,7 +6,11 @@
 use crate::{Action, AttemptEnd, NewRequest, RequestId, Timer};
 use std::time::Duration;
 
+/// The maximum objective stretch that a class may set.
+const MAX_OBJECTIVE_STRETCH: f64 = 1e3;
+
 impl Balancer {
+    /// Registers a new request and routes it, or rejects it at once if it cannot finish in time.
     pub(super) fn on_request(&mut self, new: NewRequest, actions: &mut Vec<Action>) {
         let class = new.class.min(self.settings.classes.len() - 1);
         let deadline = self.effective_deadline(&new, class);
@@ -21,7 +25,7 @@
             priority,
             deadline,
             attempts: Vec::new(),
-            stage: self.first_stage(),
+            stage: self.initial_stage(),
         };
         self.requests.insert(new.id, request);
         let time_left = deadline.saturating_sub(self.now);
@@ -36,7 +40,7 @@
         self.route(new.id, actions);
     }
 
-    fn first_stage(&self) -> RequestStage {
+    fn initial_stage(&self) -> RequestStage {
         if self.settings.loads_are_polled() {
             RequestStage::before_health_checks()
         } else {
@@ -44,23 +48,26 @@
         }
     }
 
-    /// Returns the time until which a response is of use: up to the latency objective where late
-    /// responses count for nothing. The client leaves at its deadline, and the timer comes a tick
-    /// late at most.
+    /// Returns the time after which a response to a new request has no value.
+    ///
+    /// This is the deadline of the client, or the latency objective of the class if that is earlier
+    /// and the class gives no weight to late responses. The objective counts from the first try of
+    /// the client. The client disconnects at its deadline and a timer fires up to one tick late, so
+    /// the deadline is set two ticks early.
     fn effective_deadline(&mut self, new: &NewRequest, class: usize) -> Duration {
-        const MAX_STRETCH: f64 = 1e3;
-        let spent = self.client_retries.time_spent(new, class);
+        let time_spent = self.client_retries.time_spent(new, class);
         let class = &self.settings.classes[class];
         let deadline = self.now + new.remaining.saturating_sub(2 * self.settings.tick);
         if class.late_weight > 0.0 {
             return deadline;
         }
-        let stretch = class.objective_stretch.clamp(0.0, MAX_STRETCH);
-        let own_work = new.cost_hint.unwrap_or_default().mul_f64(stretch);
-        let objective = (self.now + class.latency_objective + own_work).saturating_sub(spent);
+        let stretch = class.objective_stretch.clamp(0.0, MAX_OBJECTIVE_STRETCH);
+        let extension = new.cost_hint.unwrap_or_default().mul_f64(stretch);
+        let objective = (self.now + class.latency_objective + extension).saturating_sub(time_spent);
         deadline.min(objective)
     }
 
+    /// Rejects a request at its deadline; before that, routes it again.
     pub(super) fn on_request_timer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -68,19 +75,22 @@
         if self.now >= request.deadline {
             return self.reject(id, actions);
         }
-        // A request that was queued for health checks, or for want of endpoints, has waited long
-        // enough.
+        // The request has waited long enough for health checks or for an eligible endpoint: it is
+        // routed with what is known now.
         request.stage.finish_health_checks();
         self.queued.remove(id);
         self.route(id, actions);
     }
 
+    /// Records that the response to a request is being streamed.
     pub(super) fn on_stream_started(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.stage.start_streaming();
         }
     }
 
+    /// Records the end of an attempt. Closes the request if it needs no response; otherwise routes
+    /// it again once none of its attempts is in flight.
     pub(super) fn on_attempt_ended(&mut self, end: AttemptEnd, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&end.id) else {
             return;
@@ -101,8 +111,9 @@
         }
     }
 
-    /// Closes a request: nothing more is sent for it. Its attempts in flight are cancelled, and it
-    /// is kept until they end.
+    /// Closes a request, so that no further attempt starts, and removes it once its last attempt
+    /// has ended. Cancels its attempts in flight if the settings permit that, unless the response
+    /// is being streamed.
     pub(super) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         self.queued.remove(id);
         let Some(request) = self.requests.get_mut(&id) else {
--- a/crates/balancer/src/balancer/rejection.rs
+++ b/crates/balancer/src/balancer/rejection.rs
@@ -1,12 +1,14 @@
-//! How a request ends that no endpoint serves: the only place that sheds or fails one.
+//! Ends the requests that no endpoint serves. Only this module sheds or fails a request.
 
 use super::Balancer;
 use crate::retry::idempotency;
 use crate::{Action, RequestId};
 
 impl Balancer {
-    /// Ends a request unserved: sheds it if its client may safely retry, else fails it. Waits for
-    /// attempts in flight, which may still be served.
+    /// Sheds a request if its client may safely retry it, otherwise fails it.
+    ///
+    /// Does nothing before the deadline while attempts are in flight, since they may still be
+    /// served, nor for a request that is closed or whose response is being streamed.
     pub(super) fn reject(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else {
             return;
--- a/crates/balancer/src/balancer/routing.rs
+++ b/crates/balancer/src/balancer/routing.rs
@@ -1,9 +1,14 @@
-//! Where a request goes: [`Balancer::decide_route`] decides, and [`Balancer::start_attempt`] sends.
+//! Routes requests: [`Balancer::decide_route`] selects an endpoint, and
+//! [`Balancer::start_attempt`] starts the attempt there.
 //!
-//! The rules say which endpoints are eligible; nothing relaxes them. Outlier ejection leaves the
-//! healthy ones, or all if none is. Admission control leaves those likely to respond in time, and
-//! of these the ones not loaded above average. Among them Join-Up-To(m) picks. If all have reached
-//! m, health checks may find an idle one; else it is one at random.
+//! An endpoint is selected in these steps:
+//!
+//! 1. The rules in `eligibility` determine the eligible endpoints. No later step overrides them.
+//! 2. Outlier ejection keeps the healthy endpoints, or all of them if none is healthy.
+//! 3. Admission control keeps the endpoints that are likely to respond in time.
+//! 4. Endpoints with more than the average load of those that remain are left out.
+//! 5. Join-Up-To(m) selects one of the rest. If all have reached the cap m, health checks may find
+//!    an idle endpoint; otherwise one is selected at random.
 
 use super::Balancer;
 use crate::admission::{AdmissionRequest, load_level};
@@ -16,43 +21,48 @@
 use crate::routing::join_up_to;
 use crate::{Action, EndpointId, RequestId, Timer};
 
-/// The fraction of the mean response time after which a request without an eligible endpoint is
-/// routed again.
-const WAIT_IN_RESPONSES: f64 = 1.0 / 8.0;
+/// The time after which a request without an eligible endpoint is routed again, as a fraction of
+/// the mean response time.
+const REROUTE_DELAY_IN_RESPONSE_TIMES: f64 = 1.0 / 8.0;
+/// The amount by which a load may exceed the average and still count as equal to it, for rounding
+/// errors.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// The random draws of one decision, each from 0 up to but not including 1.
-struct Draws {
+/// The random numbers of one routing decision, each in the range `[0, 1)`.
+struct RandomDraws {
     /// Decides on admission and on probes of ejected endpoints.
     admission: f64,
-    /// Picks among equals.
-    pick: f64,
+    /// Selects one of several equally good endpoints.
+    tie_break: f64,
 }
 
-/// What to do with a request that waits for its first or a further attempt.
+/// What to do with a request that needs its first or a further attempt.
 enum RoutingDecision {
-    /// Nothing: it is closed, queued for health checks, or has an attempt in flight that may be
-    /// served.
+    /// Do nothing: the request is closed, is queued for health checks, or has an attempt in flight
+    /// that may be served.
     Wait,
-    /// Route it again later. No endpoint is eligible: none is listed, or all that are have just
-    /// started and have no permit.
+    /// Route the request again later. No endpoint is eligible: none is listed, or all listed ones
+    /// are in slow start and have no permit.
     WaitForEndpoint,
-    /// Send it to this endpoint.
+    /// Send the request to this endpoint.
     Send(EndpointId),
-    /// Ask endpoints of unknown load for theirs; if that cannot be done, send it to `otherwise`.
+    /// Send health checks to the endpoints whose load is unknown. If none can be sent, send the
+    /// request to `fallback`.
     CheckLoads {
         unknown: Vec<EndpointId>,
-        otherwise: Option<EndpointId>,
+        fallback: Option<EndpointId>,
     },
-    /// Reject it: no attempt may follow, or no endpoint is likely to respond in time.
+    /// Reject the request: no further attempt is allowed, or no endpoint is likely to respond in
+    /// time.
     Reject,
 }
 
 impl Balancer {
-    /// Decides where a request goes, and carries the decision out.
+    /// Makes a routing decision on a request, and carries it out.
     pub(super) fn route(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let draws = Draws {
+        let draws = RandomDraws {
             admission: self.random.unit(),
-            pick: self.random.unit(),
+            tie_break: self.random.unit(),
         };
         let subset_size = self.subset_size();
         self.slow_start
@@ -61,14 +71,19 @@
             RoutingDecision::Wait => {}
             RoutingDecision::WaitForEndpoint => self.wait_for_endpoint(id, actions),
             RoutingDecision::Send(endpoint) => self.start_attempt(id, endpoint, actions),
-            RoutingDecision::CheckLoads { unknown, otherwise } => {
-                self.check_loads(id, unknown, otherwise, actions);
+            RoutingDecision::CheckLoads { unknown, fallback } => {
+                self.check_loads(id, unknown, fallback, actions);
             }
             RoutingDecision::Reject => self.reject(id, actions),
         }
     }
 
-    fn decide_route(&self, id: RequestId, subset_size: usize, draws: &Draws) -> RoutingDecision {
+    fn decide_route(
+        &self,
+        id: RequestId,
+        subset_size: usize,
+        draws: &RandomDraws,
+    ) -> RoutingDecision {
         let Some(request) = self.requests.get(&id) else {
             return RoutingDecision::Wait;
         };
@@ -97,7 +112,7 @@
         id: RequestId,
         request: &PendingRequest,
         eligible: Vec<&Endpoint>,
-        draws: &Draws,
+        draws: &RandomDraws,
     ) -> RoutingDecision {
         let loads = self.load_snapshot();
         let may_probe = !request.has_attempts()
@@ -112,27 +127,28 @@
             .copied()
             .filter(|endpoint| self.admission.admits(endpoint, &loads, &admission_request))
             .collect();
-        let preferred = not_above_average_load(admitting, &loads);
-        if let Some(endpoint) = self
-            .join_up_to
-            .lowest_below_cap(&preferred, &loads, draws.pick)
+        let preferred = without_above_average_load(admitting, &loads);
+        if let Some(endpoint) =
+            self.join_up_to
+                .lowest_below_cap(&preferred, &loads, draws.tie_break)
         {
             return RoutingDecision::Send(endpoint);
         }
         if self.queued.contains(id) {
             return RoutingDecision::Wait;
         }
-        let at_random = join_up_to::pick_at_random(&preferred, draws.pick);
-        if self.health_checks_are_worth_it(request) {
+        let fallback = join_up_to::pick_at_random(&preferred, draws.tie_break);
+        if self.should_check_loads(request) {
             return RoutingDecision::CheckLoads {
-                unknown: of_unknown_load(&healthy, &loads),
-                otherwise: at_random,
+                unknown: with_unknown_load(&healthy, &loads),
+                fallback,
             };
         }
-        at_random.map_or(RoutingDecision::Reject, RoutingDecision::Send)
+        fallback.map_or(RoutingDecision::Reject, RoutingDecision::Send)
     }
 
-    fn health_checks_are_worth_it(&self, request: &PendingRequest) -> bool {
+    /// Returns whether health checks are still allowed for a request and save more than they cost.
+    fn should_check_loads(&self, request: &PendingRequest) -> bool {
         let mean_work = self
             .declared_work
             .mean()
@@ -141,22 +157,25 @@
         request.stage.may_check_health()
             && self
                 .active_checks
-                .are_worth_it(request, busy_share, mean_work, self.now)
+                .benefit_covers_cost(request, busy_share, mean_work, self.now)
     }
 
+    /// Sets the timer after which a request without an eligible endpoint is routed again.
     fn wait_for_endpoint(&self, id: RequestId, actions: &mut Vec<Action>) {
-        let wait = self.response_times.mean() * WAIT_IN_RESPONSES;
+        let delay = self.response_times.mean() * REROUTE_DELAY_IN_RESPONSE_TIMES;
         actions.push(Action::SetTimer {
-            after: wait.to_duration().max(self.settings.tick),
+            after: delay.to_duration().max(self.settings.tick),
             timer: Timer::Request(id),
         });
     }
 
+    /// Starts health checks and queues the request for them. If no health check is in flight, sends
+    /// the request to `fallback` or rejects it.
     fn check_loads(
         &mut self,
         id: RequestId,
         unknown: Vec<EndpointId>,
-        otherwise: Option<EndpointId>,
+        fallback: Option<EndpointId>,
         actions: &mut Vec<Action>,
     ) {
         if self
@@ -165,7 +184,7 @@
         {
             return self.queue_for_health_checks(id, actions);
         }
-        match otherwise {
+        match fallback {
             Some(endpoint) => self.start_attempt(id, endpoint, actions),
             None => self.reject(id, actions),
         }
@@ -181,7 +200,10 @@
         });
     }
 
-    /// Starts an attempt, the only place that does. Every rule is checked here, whatever led to it.
+    /// Starts an attempt at a request, or rejects the request if a rule forbids the attempt.
+    ///
+    /// Only this method starts attempts, and it checks every rule again, whichever decision led to
+    /// the attempt.
     fn start_attempt(&mut self, id: RequestId, to: EndpointId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -218,6 +240,7 @@
         }
     }
 
+    /// Returns the timeout of an attempt that starts now, and the delay of the hedged request.
     fn plan_attempt(&self, request: &PendingRequest) -> AttemptPlan {
         let timer_margin = 2 * self.settings.tick;
         let allowance = RetryAllowance {
@@ -229,27 +252,27 @@
     }
 }
 
-/// Returns the endpoints whose load is not above the average of them all.
-fn not_above_average_load<'a>(
+/// Returns the endpoints whose load is not above the average load of all given endpoints.
+fn without_above_average_load<'a>(
     endpoints: Vec<&'a Endpoint>,
     loads: &LoadSnapshot,
 ) -> Vec<&'a Endpoint> {
-    const ROUNDING: f64 = 1e-9;
     let estimates: Vec<f64> = endpoints
         .iter()
         .map(|endpoint| loads.estimate(endpoint))
         .collect();
-    let average = estimates.iter().sum::<f64>() / endpoints.len() as f64 + ROUNDING;
+    let average = estimates.iter().sum::<f64>() / endpoints.len() as f64;
+    let max_load = average + ROUNDING_TOLERANCE;
     endpoints
         .into_iter()
         .zip(estimates)
-        .filter(|(_, load)| *load <= average)
+        .filter(|(_, load)| *load <= max_load)
         .map(|(endpoint, _)| endpoint)
         .collect()
 }
 
-/// Returns the endpoints that have not reported their load lately and are not being asked for it.
-fn of_unknown_load(endpoints: &[&Endpoint], loads: &LoadSnapshot) -> Vec<EndpointId> {
+/// Returns the endpoints that have no fresh load report and no health check in flight.
+fn with_unknown_load(endpoints: &[&Endpoint], loads: &LoadSnapshot) -> Vec<EndpointId> {
     endpoints
         .iter()
         .filter(|endpoint| !endpoint.check_in_flight && loads.reported(endpoint).is_none())
--- a/crates/balancer/src/health.rs
+++ b/crates/balancer/src/health.rs
@@ -1,4 +1,5 @@
-//! What a node knows of its endpoints' health and load.
+//! Endpoint health: active health checks, what attempts show about an endpoint, and outlier
+//! ejection.
 
 pub(crate) mod active_check;
 pub(crate) mod observation;
--- a/crates/balancer/src/health/active_check.rs
+++ b/crates/balancer/src/health/active_check.rs
@@ -1,5 +1,6 @@
 //! Active health checks that ask endpoints for their load (settings keys `LoadReport.Via: pull` and
-//! `Permissions.Probes`): which requests are worth them, and how long a request is queued for them.
+//! `Permissions.Probes`): for which requests they are sent, and how long a request is queued for
+//! them.
 
 use crate::endpoints::EndpointSet;
 use crate::estimates::load_snapshot::MIN_BUSY_SHARE;
@@ -8,21 +9,21 @@
 use crate::{Action, EndpointId, Settings};
 use std::time::Duration;
 
-/// The health checks for one request: the better of two random endpoints is nearly as good as the
-/// best of all.
+/// The maximum number of health checks for one request. The less loaded of two random endpoints is
+/// nearly as good as the least loaded of all.
 const CHECKS_PER_REQUEST: u32 = 2;
 /// How long a request is queued for health checks, as a fraction of the mean response time. An
-/// endpoint that takes longer over a health check is a poor choice.
-const MAX_QUEUE_TIME_IN_RESPONSES: f64 = 1.0 / 16.0;
-/// The least time for which a request is queued, in ticks.
+/// endpoint that takes longer to answer a health check is a poor choice.
+const MAX_QUEUE_TIME_IN_RESPONSE_TIMES: f64 = 1.0 / 16.0;
+/// The lower bound on the time for which a request is queued for health checks, in ticks.
 const MIN_QUEUE_TICKS: u32 = 4;
-/// The least time left that the work of a request is compared with.
+/// The lower bound on the time left that the work of a request is divided by.
 const MIN_TIME_LEFT: Seconds = Seconds::new(1e-6);
 
-/// The health checks in flight, and what decides on further ones.
+/// Decides on health checks, and counts those in flight.
 pub(crate) struct ActiveChecks {
-    /// The price of one health check for each request, as a fraction of the service.
-    price: f64,
+    /// The cost of one health check for each request, as a fraction of the service.
+    cost: f64,
     weight_by_work: bool,
     tick: Duration,
     in_flight: u32,
@@ -32,21 +33,21 @@
     /// Returns a state with no health check in flight.
     pub(crate) fn new(settings: &Settings) -> Self {
         ActiveChecks {
-            price: settings.cost_weights.health_check,
+            cost: settings.cost_weights.health_check,
             weight_by_work: settings.weight_by_work,
             tick: settings.tick,
             in_flight: 0,
         }
     }
 
-    /// Returns whether health checks for a request save more than they cost, both in units of the
-    /// mean request.
+    /// Returns whether the expected benefit of health checks for a request is at least their cost,
+    /// both in units of the mean request.
     ///
-    /// Sent without them, a request meets a busy endpoint as often as there are such, and is late
-    /// the likelier for it the more of its time its own work takes. Health checks avoid that, or
-    /// half of it where all the endpoints asked are busy. `mean_work` is the mean work of a
+    /// Without health checks, a request reaches a busy endpoint with probability `busy_share`. At a
+    /// busy endpoint it is late with probability `work / time_left`, at most 1. Health checks avoid
+    /// this risk, or half of it if all checked endpoints are busy. `mean_work` is the mean work of a
     /// request.
-    pub(crate) fn are_worth_it(
+    pub(crate) fn benefit_covers_cost(
         &self,
         request: &PendingRequest,
         busy_share: f64,
@@ -58,11 +59,11 @@
         let time_left = Seconds::from(request.deadline.saturating_sub(now)).max(MIN_TIME_LEFT);
         let late_if_busy = (work / time_left).min(1.0);
         let avoided = 1.0 - busy.powi(CHECKS_PER_REQUEST as i32) / 2.0;
-        let saved = self.weight(request) * busy * late_if_busy * avoided;
-        saved >= f64::from(CHECKS_PER_REQUEST) * self.price
+        let benefit = self.weight(request) * busy * late_if_busy * avoided;
+        benefit >= f64::from(CHECKS_PER_REQUEST) * self.cost
     }
 
-    /// Returns what a request counts for, in units of the mean request.
+    /// Returns the weight of a request in the objective, in units of the mean request.
     fn weight(&self, request: &PendingRequest) -> f64 {
         if self.weight_by_work {
             request.priority * request.relative_work
@@ -71,8 +72,8 @@
         }
     }
 
-    /// Sends health checks to some of the targets. Returns whether any health check is in flight
-    /// now.
+    /// Sends health checks to up to [`CHECKS_PER_REQUEST`] of the targets, selected at random.
+    /// Returns whether any health check, for this or an earlier request, is in flight now.
     pub(crate) fn start(
         &mut self,
         mut targets: Vec<EndpointId>,
@@ -95,9 +96,9 @@
         self.in_flight > 0
     }
 
-    /// Returns how long a request is queued for health checks.
+    /// Returns how long a request is queued for health checks at most.
     pub(crate) fn max_queue_time(&self, mean_response_time: Seconds) -> Duration {
-        let queue_time = mean_response_time * MAX_QUEUE_TIME_IN_RESPONSES;
+        let queue_time = mean_response_time * MAX_QUEUE_TIME_IN_RESPONSE_TIMES;
         queue_time.to_duration().max(MIN_QUEUE_TICKS * self.tick)
     }
 
--- a/crates/balancer/src/health/observation.rs
+++ b/crates/balancer/src/health/observation.rs
@@ -1,5 +1,5 @@
-//! What the end of an attempt says of its endpoint: whether it is healthy, and whether it responds
-//! in time.
+//! What the end of an attempt shows about its endpoint: whether it is healthy, and whether it
+//! responds in time.
 
 use crate::endpoints::HealthSignal;
 use crate::numeric::Seconds;
@@ -7,34 +7,39 @@
 use crate::{AttemptEnd, Outcome, RequestClass};
 use std::time::Duration;
 
-/// Whether an endpoint responds in time at a load.
+/// The quarters of its time that an attempt may take before it is near its deadline.
+const MAX_QUARTERS: u32 = 3;
+/// The same for a class in which late responses have a weight.
+const MAX_QUARTERS_WITH_LATE_WEIGHT: u32 = 5;
+
+/// Whether an endpoint responds in time at the load that it had when an attempt started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timeliness {
-    /// It does.
+    /// The endpoint responds in time.
     InTime,
-    /// It does not.
+    /// The endpoint responds late, or not at all.
     Late,
 }
 
-/// The class of a request and the response times seen in it.
+/// The class of a request, and the response times observed in it.
 pub(crate) struct ClassContext<'a> {
-    /// The class, as the settings have it.
+    /// The class from the settings.
     pub class: &'a RequestClass,
     /// The mean response time of the class.
     pub mean_response_time: Seconds,
 }
 
-/// What the end of an attempt says of its endpoint.
+/// What the end of an attempt shows about its endpoint.
 pub(crate) struct Observation {
     outcome: Outcome,
-    /// Whether the attempt was abandoned after the time of a usual response.
+    /// Whether the attempt timed out or was cancelled, and was overdue by then.
     abandoned_overdue: bool,
-    /// Whether the response came with hardly any time left for the client.
+    /// Whether the attempt took nearly all of its time, or more.
     near_deadline: bool,
 }
 
 impl Observation {
-    /// Returns what the end of an attempt, seen at `now`, says of its endpoint.
+    /// Returns what the end of an attempt, observed at `now`, shows about its endpoint.
     pub(crate) fn new(
         request: &PendingRequest,
         attempt: &Attempt,
@@ -43,15 +48,15 @@
         now: Duration,
     ) -> Self {
         let was_abandoned = matches!(end.outcome, Outcome::TimedOut | Outcome::Cancelled);
-        let usual = context.mean_response_time;
+        let mean_response_time = context.mean_response_time;
         Observation {
             outcome: end.outcome,
-            abandoned_overdue: was_abandoned && is_overdue(attempt, end, usual, now),
+            abandoned_overdue: was_abandoned && is_overdue(attempt, end, mean_response_time, now),
             near_deadline: is_near_deadline(request, attempt, end, context.class),
         }
     }
 
-    /// Returns what it says of the endpoint's health, if anything.
+    /// Returns the signal on the health of the endpoint, if there is one.
     pub(crate) fn health(&self) -> Option<HealthSignal> {
         match self.outcome {
             Outcome::Served if self.near_deadline => Some(HealthSignal::RespondedLate),
@@ -63,7 +68,8 @@
         }
     }
 
-    /// Returns whether the endpoint responds in time at the load that it had, if this says so.
+    /// Returns whether the endpoint responds in time at the load that it had, if the attempt shows
+    /// that.
     pub(crate) fn timeliness(&self) -> Option<Timeliness> {
         match self.outcome {
             Outcome::Served if !self.near_deadline => Some(Timeliness::InTime),
@@ -74,17 +80,23 @@
     }
 }
 
-/// Returns whether an attempt took as long as a usual response of its class, and was seen to end
-/// when it expired. An end that is seen long after that says that this node paused, not that the
-/// endpoint is slow.
-fn is_overdue(attempt: &Attempt, end: &AttemptEnd, usual: Seconds, now: Duration) -> bool {
-    let seen_late_by = Seconds::from(now) - Seconds::from(attempt.expires);
-    let was_seen_in_time = (Seconds::ZERO..usual / 4.0).contains(&seen_late_by);
-    was_seen_in_time && Seconds::from(end.elapsed) >= usual
+/// Returns whether an attempt took at least the mean response time of its class, and its end was
+/// observed less than a quarter of that time after it expired. If the end is observed later, this
+/// node was paused, and the attempt does not show that the endpoint is slow.
+fn is_overdue(
+    attempt: &Attempt,
+    end: &AttemptEnd,
+    mean_response_time: Seconds,
+    now: Duration,
+) -> bool {
+    let delay = Seconds::from(now) - Seconds::from(attempt.expires);
+    let was_observed_promptly = (Seconds::ZERO..mean_response_time / 4.0).contains(&delay);
+    was_observed_promptly && Seconds::from(end.elapsed) >= mean_response_time
 }
 
-/// Returns whether an attempt took more than three quarters of its time: the latency objective, or
-/// what the client had left of it. Where late responses count as well, it may take five quarters.
+/// Returns whether an attempt took more than three quarters of its time, or more than five quarters
+/// if its class gives weight to late responses. Its time is the latency objective, or the time that
+/// was left until the request's deadline if that is shorter.
 fn is_near_deadline(
     request: &PendingRequest,
     attempt: &Attempt,
@@ -92,6 +104,10 @@
     class: &RequestClass,
 ) -> bool {
     let time_left = request.deadline - attempt.started;
-    let quarters = if class.late_weight > 0.0 { 5 } else { 3 };
-    4 * end.elapsed > quarters * class.latency_objective.min(time_left)
+    let max_quarters = if class.late_weight > 0.0 {
+        MAX_QUARTERS_WITH_LATE_WEIGHT
+    } else {
+        MAX_QUARTERS
+    };
+    4 * end.elapsed > max_quarters * class.latency_objective.min(time_left)
 }
--- a/crates/balancer/src/health/outlier_ejection.rs
+++ b/crates/balancer/src/health/outlier_ejection.rs
@@ -1,5 +1,5 @@
 //! Outlier ejection: an endpoint that fails far more often than the others gets no requests for a
-//! while. After that it is on probation: some requests probe it, until it serves again.
+//! while. After that it is on probation: a few requests probe it until it serves one.
 
 use crate::endpoints::{Endpoint, EndpointSet, Health, HealthSignal};
 use crate::numeric::{SMOOTHING, smooth};
@@ -8,37 +8,38 @@
 
 /// The failure rate above which an endpoint may be an outlier.
 const MIN_FAILURE_RATE: f64 = 0.5;
-/// The multiple of the failure rate of all endpoints above which one may be an outlier: what all
-/// endpoints suffer is the fault of none.
-const MIN_EXCESS: f64 = 1.5;
-/// Each further ejection in a row lasts twice as long, up to 2 to this power.
+/// The multiple of the failure rate of all endpoints above which one may be an outlier: a failure
+/// that affects all endpoints makes none of them an outlier.
+const MIN_FAILURE_RATE_RATIO: f64 = 1.5;
+/// The ejection time doubles with each ejection in a row, up to this many times.
 const MAX_DOUBLINGS: u32 = 4;
 /// The share of requests that may probe an endpoint on probation.
 const PROBE_SHARE: f64 = SMOOTHING;
-/// How much smaller that share is among requests that cannot be retried: probes would otherwise
-/// take most of the requests of a quiet node.
+/// The factor by which that share is smaller for requests that cannot be retried. Otherwise probes
+/// would take most of the requests of a quiet node.
 const UNRETRYABLE_PROBE_DIVISOR: f64 = 4.0;
 
-/// What a signal means for the endpoint that gave it.
+/// What follows from a health signal for the endpoint that it concerns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
-    /// It stays in use.
+pub(crate) enum EjectionAdvice {
+    /// The endpoint stays in use.
     Keep,
-    /// It is an outlier, and is ejected unless too many others are.
-    Outlier,
-    /// It is ejected in any case: it cannot be reached, or has failed on probation.
-    Unusable,
+    /// The endpoint is an outlier, and is ejected unless too many others are.
+    EjectOutlier,
+    /// The endpoint is ejected in any case: it is unreachable, or has failed while ejected or on
+    /// probation.
+    EjectAlways,
 }
 
 /// Detects and ejects outliers.
 pub(crate) struct OutlierDetector {
     base_ejection_time: Duration,
-    /// The failure rate of all endpoints.
+    /// The moving average of the failure rate of all endpoints.
     failure_rate: f64,
 }
 
 impl OutlierDetector {
-    /// Returns a detector that has seen no failures.
+    /// Returns a detector that has recorded no failures.
     pub(crate) fn new(settings: &Settings) -> Self {
         OutlierDetector {
             base_ejection_time: settings.rules.overload_window,
@@ -46,25 +47,30 @@
         }
     }
 
-    /// Records a signal of an endpoint, and returns what it means. A response restores an endpoint
-    /// that was ejected.
-    pub(crate) fn record(&mut self, endpoint: &mut Endpoint, signal: HealthSignal) -> Verdict {
+    /// Records a health signal of an endpoint, and returns what follows from it. A response
+    /// restores an endpoint that was ejected.
+    pub(crate) fn record(
+        &mut self,
+        endpoint: &mut Endpoint,
+        signal: HealthSignal,
+    ) -> EjectionAdvice {
         endpoint.health.record(signal);
         smooth(&mut self.failure_rate, signal.failure(), SMOOTHING / 2.0);
         if signal.failure() < 1.0 {
             endpoint.health.restore();
-            return Verdict::Keep;
+            return EjectionAdvice::Keep;
         }
         if endpoint.health.is_ejected() || signal == HealthSignal::Unreachable {
-            Verdict::Unusable
+            EjectionAdvice::EjectAlways
         } else if self.is_outlier(&endpoint.health) {
-            Verdict::Outlier
+            EjectionAdvice::EjectOutlier
         } else {
-            Verdict::Keep
+            EjectionAdvice::Keep
         }
     }
 
-    /// Ejects an endpoint, each time in a row for twice as long.
+    /// Ejects an endpoint. Each further ejection in a row lasts twice as long as the one before, up
+    /// to [`MAX_DOUBLINGS`] doublings.
     pub(crate) fn eject(&self, endpoint: &mut Endpoint, now: Duration) {
         let doublings = endpoint.health.ejections().min(MAX_DOUBLINGS);
         let ejection_time = self.base_ejection_time * (1 << doublings);
@@ -73,32 +79,37 @@
 
     fn is_outlier(&self, health: &Health) -> bool {
         let rate = health.failure_rate();
-        rate > MIN_FAILURE_RATE && rate > MIN_EXCESS * self.failure_rate
+        rate > MIN_FAILURE_RATE && rate > MIN_FAILURE_RATE_RATIO * self.failure_rate
     }
 }
 
-/// Returns whether an endpoint with this verdict is ejected. Half of the `nearby` next endpoints on
-/// the ring are never ejected as outliers.
-pub(crate) fn allows_ejection(verdict: Verdict, endpoints: &EndpointSet, nearby: usize) -> bool {
-    match verdict {
-        Verdict::Keep => false,
-        Verdict::Outlier => may_eject_more(endpoints, nearby),
-        Verdict::Unusable => true,
+/// Returns whether to eject an endpoint with this advice. An outlier is not ejected if more than
+/// half of the first `neighborhood_size` endpoints on the ring would be ejected then.
+pub(crate) fn should_eject(
+    advice: EjectionAdvice,
+    endpoints: &EndpointSet,
+    neighborhood_size: usize,
+) -> bool {
+    match advice {
+        EjectionAdvice::Keep => false,
+        EjectionAdvice::EjectOutlier => may_eject_outlier(endpoints, neighborhood_size),
+        EjectionAdvice::EjectAlways => true,
     }
 }
 
-fn may_eject_more(endpoints: &EndpointSet, nearby: usize) -> bool {
+/// Returns whether at most half of the neighborhood is ejected after one more ejection.
+fn may_eject_outlier(endpoints: &EndpointSet, neighborhood_size: usize) -> bool {
     let ejected = endpoints
         .ring()
-        .take(nearby)
+        .take(neighborhood_size)
         .filter(|endpoint| endpoint.health.is_ejected())
         .count();
-    let nearby = nearby.min(endpoints.ready_count());
-    2 * ejected + 2 <= nearby
+    let neighborhood_size = neighborhood_size.min(endpoints.ready_count());
+    2 * ejected + 2 <= neighborhood_size
 }
 
-/// Returns whether the first attempt at a request may probe an endpoint on probation; `draw` is the
-/// request's random draw.
+/// Returns whether the first attempt at a request may probe an endpoint on probation. `draw` is a
+/// random number in the range `[0, 1)`.
 pub(crate) fn may_probe(idempotency: Idempotency, draw: f64) -> bool {
     match idempotency {
         Idempotency::NotIdempotent => draw * UNRETRYABLE_PROBE_DIVISOR < PROBE_SHARE,
@@ -106,16 +117,16 @@
     }
 }
 
-/// Returns the endpoints to choose from: those due for a probe if the request may be one, else
-/// those that are not ejected, else all.
+/// Returns the endpoints to select from: those due for a probe, if there are any and the request
+/// may probe; otherwise those that are not ejected; if all are ejected, all of them.
 pub(crate) fn candidates(
     eligible: Vec<&Endpoint>,
     may_probe: bool,
     now: Duration,
 ) -> Vec<&Endpoint> {
-    let is_due = |e: &&Endpoint| e.in_flight == 0 && e.health.is_on_probation(now);
-    if may_probe && eligible.iter().any(is_due) {
-        return eligible.into_iter().filter(is_due).collect();
+    let is_due_for_probe = |e: &&Endpoint| e.in_flight == 0 && e.health.is_on_probation(now);
+    if may_probe && eligible.iter().any(is_due_for_probe) {
+        return eligible.into_iter().filter(is_due_for_probe).collect();
     }
     let healthy: Vec<&Endpoint> = eligible
         .iter()
--- a/crates/balancer/src/routing.rs
+++ b/crates/balancer/src/routing.rs
@@ -1,5 +1,5 @@
-//! Which endpoint a request goes to: Join-Up-To(m) over a subset of the endpoints, sparing those
-//! that start.
+//! Endpoint selection: Join-Up-To(m) over a subset of the endpoints, and slow start for endpoints
+//! that have just started.
 
 pub(crate) mod join_up_to;
 pub(crate) mod slow_start;
--- a/crates/balancer/src/routing/join_up_to.rs
+++ b/crates/balancer/src/routing/join_up_to.rs
@@ -1,9 +1,9 @@
-//! Join-Up-To(m), the ordinary path of every request ("Join-Up-To(m): Improved Hyper-scalable Load
-//! Balancing").
+//! Join-Up-To(m), the algorithm that selects an endpoint for every request ("Join-Up-To(m):
+//! Improved Hyper-scalable Load Balancing").
 //!
-//! A node counts its own sends to each endpoint since that endpoint last showed idle. It sends to
-//! the lowest count below m, ties broken at random, and to any endpoint at random once all have
-//! reached m.
+//! A node counts its own sends to each endpoint since the last idle signal of that endpoint. It
+//! selects the endpoint with the lowest count, with ties broken at random. Once all counts have
+//! reached the cap m, it selects any endpoint at random.
 
 use crate::endpoints::Endpoint;
 use crate::estimates::load_snapshot::{LoadSnapshot, MIN_BUSY_SHARE, is_idle};
@@ -11,18 +11,21 @@
 use crate::{EndpointId, Settings};
 use std::time::Duration;
 
-/// What remains of the counted sends and idle signals at each send: the last 500 or so decide on m.
-const RETAINED_PER_SEND: f64 = 0.998;
+/// The factor by which the totals of sends and idle signals decay at each send, so that about the
+/// last 500 sends determine m.
+const DECAY_PER_SEND: f64 = 0.998;
 
-/// The algorithm's state beside the counts.
+/// The state that the algorithm keeps for all endpoints together. The send counts are kept with
+/// each endpoint.
 pub(crate) struct JoinUpTo {
-    /// Own sends, forgotten slowly.
+    /// The number of this node's sends, with exponential decay.
     sends: f64,
-    /// Idle signals, forgotten slowly.
+    /// The number of idle signals, with the same decay.
     idle_signals: f64,
     /// The share of load reports that were not idle.
     busy_share: f64,
-    /// Whether idle signals from health checks expire, since other nodes may have sent since.
+    /// Whether an idle signal expires, since other nodes may have sent requests to the endpoint
+    /// after the health check that showed it idle.
     idle_signals_expire: bool,
 }
 
@@ -42,8 +45,8 @@
         self.busy_share
     }
 
-    /// Returns the endpoint with the lowest count strictly below m, if there is one. `draw`, from 0
-    /// to 1, breaks ties.
+    /// Returns the endpoint with the lowest send count, if that count is below m. `draw`, a random
+    /// number in the range `[0, 1)`, breaks ties.
     pub(crate) fn lowest_below_cap(
         &self,
         candidates: &[&Endpoint],
@@ -53,7 +56,7 @@
         let cap = self.cap();
         let counts: Vec<u32> = candidates
             .iter()
-            .map(|endpoint| self.count(endpoint, loads, cap))
+            .map(|endpoint| self.send_count(endpoint, loads, cap))
             .collect();
         let lowest = *counts.iter().min().filter(|count| **count < cap)?;
         let ties: Vec<&Endpoint> = candidates
@@ -65,8 +68,8 @@
         pick_at_random(&ties, draw)
     }
 
-    /// Returns the count of an endpoint; m if its idle signal has expired.
-    fn count(&self, endpoint: &Endpoint, loads: &LoadSnapshot, cap: u32) -> u32 {
+    /// Returns the send count of an endpoint; m if its idle signal has expired.
+    fn send_count(&self, endpoint: &Endpoint, loads: &LoadSnapshot, cap: u32) -> u32 {
         let is_fresh = |at| loads.is_fresh(at);
         if self.idle_signals_expire && !endpoint.sends.idle_at().is_some_and(is_fresh) {
             cap
@@ -75,28 +78,30 @@
         }
     }
 
-    /// Returns the cap m of Theorem 6 of the paper for exponential job sizes, from own sends per
-    /// idle signal (its lambda / delta) and the share of reports that were not idle (its lambda).
+    /// Returns the cap m by Theorem 6 of the paper, for exponentially distributed job sizes.
+    ///
+    /// The paper's lambda is the share of load reports that were not idle, and its lambda / delta
+    /// is the number of own sends per idle signal.
     fn cap(&self) -> u32 {
         let sends_per_signal = self.sends / self.idle_signals;
         let busy_share = self.busy_share.max(MIN_BUSY_SHARE);
         // The positive root of x^2 + 2 * half_linear_term * x = 2 * sends_per_signal.
         let half_linear_term = 0.5 + sends_per_signal * (1.0 - self.busy_share) / busy_share;
-        let best = ((half_linear_term * half_linear_term + 2.0 * sends_per_signal).sqrt()
+        let optimal_cap = ((half_linear_term * half_linear_term + 2.0 * sends_per_signal).sqrt()
             - half_linear_term)
             .ceil();
-        best.min(sends_per_signal.floor()).max(1.0) as u32
+        optimal_cap.min(sends_per_signal.floor()).max(1.0) as u32
     }
 
     /// Records an attempt that was sent to this endpoint.
     pub(crate) fn record_send(&mut self, endpoint: &mut Endpoint) {
         endpoint.sends.increment();
-        self.sends = self.sends * RETAINED_PER_SEND + 1.0;
-        self.idle_signals *= RETAINED_PER_SEND;
+        self.sends = self.sends * DECAY_PER_SEND + 1.0;
+        self.idle_signals *= DECAY_PER_SEND;
     }
 
-    /// Records a load report. An idle one that came with a served response or health check resets
-    /// the count; own attempts that are still in flight there stay in it.
+    /// Records a load report. An idle report that came with a served response or health check
+    /// resets the send count to the number of own attempts that are in flight there.
     pub(crate) fn record_report(
         &mut self,
         endpoint: &mut Endpoint,
@@ -115,7 +120,8 @@
     }
 }
 
-/// Returns one of the endpoints; `draw`, from 0 up to but not including 1, says which.
+/// Returns one of the endpoints, or `None` if there is none. `draw`, a random number in the range
+/// `[0, 1)`, determines which.
 pub(crate) fn pick_at_random(candidates: &[&Endpoint], draw: f64) -> Option<EndpointId> {
     let index = (draw * candidates.len() as f64) as usize;
     candidates.get(index).map(|endpoint| endpoint.entry.id)
--- a/crates/balancer/src/routing/slow_start.rs
+++ b/crates/balancer/src/routing/slow_start.rs
@@ -1,38 +1,37 @@
 //! Slow start: an endpoint that has just started is sent no more than its present capacity
 //! allows (settings keys `ColdFrom`, `RampTime`, `OverloadFactor` and `TipAfter`).
 //!
-//! While it starts, an endpoint is sent one request for each permit. The responses of a warm
-//! endpoint to all nodes add up to less than its capacity, so each node draws permits at a multiple
-//! of the rate at which a warm endpoint serves it. Permits come at random and expire soon: what
-//! hundreds of quiet nodes could save up would otherwise be spent in one burst.
+//! During slow start, an endpoint is sent one request per permit. A warm endpoint serves all nodes
+//! together at less than its capacity, so each node draws permits at a multiple of the rate at
+//! which a warm endpoint serves that node. Permits are drawn at random and expire soon; otherwise
+//! hundreds of quiet nodes could accumulate permits and spend them in one burst.
 
 use crate::endpoints::{Endpoint, EndpointSet, Permit};
 use crate::estimates::EndpointShare;
 use crate::numeric::Random;
 use crate::routing::starting_capacity::StartingCapacity;
-use crate::routing::subset::NEIGHBORHOOD;
+use crate::routing::subset::NEIGHBORHOOD_FACTOR;
 use crate::settings::Rules;
 use crate::{EndpointId, Settings};
 use std::time::Duration;
 
-/// The part of the rule's overload factor that is used: the rest is for chance and endpoints that
-/// lag behind.
-const USED_OVERLOAD: f64 = 0.6;
-/// The most that is used of it, as a multiple of the capacity that an endpoint has for certain:
-/// more would overload it for nothing.
-const MAX_OVERLOAD: f64 = 1.6;
-/// The most relative work of a request that a starting endpoint is sent.
+/// The fraction of the rules' overload factor that is used. The rest is a reserve for random
+/// variation and for endpoints that lag behind.
+const USED_FRACTION_OF_OVERLOAD_FACTOR: f64 = 0.6;
+/// The maximum load factor. A higher one would overload an endpoint without benefit.
+const MAX_LOAD_FACTOR: f64 = 1.6;
+/// The maximum relative work of a request that is sent to an endpoint in slow start.
 const MAX_RELATIVE_WORK: f64 = 2.0;
 
-/// Returns the load on a starting endpoint, as a multiple of the capacity that it has for certain.
+/// Returns the load to put on an endpoint in slow start, as a multiple of its guaranteed capacity.
 pub(crate) fn load_factor(rules: &Rules) -> f64 {
-    (rules.overload_factor * USED_OVERLOAD).min(MAX_OVERLOAD)
+    (rules.overload_factor * USED_FRACTION_OF_OVERLOAD_FACTOR).min(MAX_LOAD_FACTOR)
 }
 
-/// Issues the permits of starting endpoints.
+/// Draws the permits of endpoints in slow start.
 pub(crate) struct SlowStart {
     capacity: StartingCapacity,
-    /// The load on a starting endpoint, as a multiple of its present capacity.
+    /// The load on an endpoint in slow start, as a multiple of its guaranteed capacity.
     load_factor: f64,
     permit_lifetime: Duration,
     /// The work that a warm endpoint serves for this node.
@@ -40,7 +39,7 @@
 }
 
 impl SlowStart {
-    /// Returns a slow start that has issued no permits.
+    /// Returns the state before any permit is drawn.
     pub(crate) fn new(settings: &Settings) -> Self {
         let rules = &settings.rules;
         SlowStart {
@@ -61,20 +60,21 @@
         self.share.record_arrival(work, now);
     }
 
-    /// Records work that an endpoint has served.
+    /// Records work that an endpoint has served; only that of warm endpoints counts.
     pub(crate) fn record_served(&mut self, endpoint: &Endpoint, work: f64, now: Duration) {
-        if self.capacity.is_full(endpoint, now) {
+        if self.capacity.is_warm(endpoint, now) {
             self.share.record_served(work, now);
         }
     }
 
-    /// Returns whether the endpoint may be sent a request of this relative work.
+    /// Returns whether the endpoint may be sent a request of this relative work: it is warm, or it
+    /// has a permit and the request is not too heavy.
     pub(crate) fn allows(&self, endpoint: &Endpoint, relative_work: f64, now: Duration) -> bool {
         let has_permit = endpoint.permit.is_valid(now) && relative_work <= MAX_RELATIVE_WORK;
-        self.capacity.is_full(endpoint, now) || has_permit
+        self.capacity.is_warm(endpoint, now) || has_permit
     }
 
-    /// Draws permits for the starting endpoints in and next to the subset.
+    /// Draws permits for the endpoints in slow start in the neighborhood of the subset.
     pub(crate) fn draw_permits(
         &mut self,
         endpoints: &mut EndpointSet,
@@ -84,8 +84,8 @@
     ) {
         let starting: Vec<EndpointId> = endpoints
             .ring()
-            .take(NEIGHBORHOOD * subset_size)
-            .filter(|endpoint| !self.capacity.is_full(endpoint, now))
+            .take(NEIGHBORHOOD_FACTOR * subset_size)
+            .filter(|endpoint| !self.capacity.is_warm(endpoint, now))
             .map(|endpoint| endpoint.entry.id)
             .collect();
         self.update_share(endpoints, subset_size, now);
@@ -94,30 +94,31 @@
             let Some(endpoint) = endpoints.get_mut(id) else {
                 continue;
             };
-            let rate = self.load_factor * self.capacity.at(endpoint, now) * self.share.peak();
+            let capacity = self.capacity.guaranteed_fraction(endpoint, now);
+            let rate = self.load_factor * capacity * self.share.peak();
             self.draw_permit(&mut endpoint.permit, rate, draw, now);
         }
     }
 
-    /// Draws one permit, with the probability that a Poisson process of this rate has had an event
-    /// since the last draw.
+    /// Draws one permit. The probability to get it is that of at least one event of a Poisson
+    /// process with this rate since the last draw: `1 - exp(-rate * elapsed)`.
     fn draw_permit(&self, permit: &mut Permit, rate: f64, draw: f64, now: Duration) {
-        let since = permit
+        let elapsed = permit
             .since_draw(now)
             .min(self.permit_lifetime)
             .as_secs_f64();
-        let is_won = draw < 1.0 - (-rate * since).exp();
-        permit.record_draw(is_won, self.permit_lifetime, now);
+        let is_granted = draw < 1.0 - (-rate * elapsed).exp();
+        permit.record_draw(is_granted, self.permit_lifetime, now);
     }
 
-    /// Updates the estimate of what a warm endpoint serves for this node.
+    /// Updates the estimate of the work that a warm endpoint serves for this node.
     fn update_share(&mut self, endpoints: &EndpointSet, subset_size: usize, now: Duration) {
         let warm = endpoints
             .ring()
             .take(subset_size)
-            .filter(|endpoint| self.capacity.is_full(endpoint, now))
+            .filter(|endpoint| self.capacity.is_warm(endpoint, now))
             .count();
-        let sharing = subset_size.min(endpoints.ready_count());
-        self.share.update(warm, sharing, now);
+        let used = subset_size.min(endpoints.ready_count());
+        self.share.update(warm, used, now);
     }
 }
