--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -3,13 +3,14 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Unix time as it was at the start, continued by the monotonic clock.
+/// A clock that shows the Unix time read at the start plus the monotonic time since then.
 ///
-/// The wall clock is read once, at the start, and serves one purpose: to put an endpoint's
-/// `since_ms` on the scale of events. All deadlines, windows, waits and ages are differences on
-/// that scale, and so spans of monotonic time, which a step of the wall clock does not change. If
-/// an endpoint's wall clock was stepped against this reading, its `since_ms` is off by that step,
-/// so the balancer accepts it only within what the node knows without the wall clock.
+/// The wall clock is read only at the start. That reading makes an endpoint's `since_ms`, which is
+/// Unix time, comparable with the times of the node's events. All deadlines, windows, waits and
+/// ages are differences between times of this clock. They are monotonic, so a step of the wall
+/// clock does not change them. If an endpoint's wall clock differs from this reading by a step, its
+/// `since_ms` is off by that step. The balancer therefore accepts `since_ms` only within the bounds
+/// that the node knows without the wall clock.
 #[derive(Clone, Copy)]
 pub(crate) struct Clock {
     started: Instant,
@@ -17,7 +18,7 @@
 }
 
 impl Clock {
-    /// Starts a clock that shows the present Unix time.
+    /// Starts a clock at the current Unix time.
     pub(crate) fn start() -> Self {
         let unix_time_at_start = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -33,7 +34,7 @@
         self.unix_time_at_start + self.started.elapsed()
     }
 
-    /// Returns the instant of the runtime at which this clock shows `time`.
+    /// Converts a time of this clock to an instant of the async runtime.
     pub(crate) fn instant(self, time: Duration) -> Instant {
         self.started + time.saturating_sub(self.unix_time_at_start)
     }
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -12,7 +12,7 @@
 mod watch;
 
 use crate::logging::log;
-use crate::message::{DiscoveryCommand, EndpointListUpdate, ListedEndpoint, Message};
+use crate::message::{DiscoveryCommand, DriverMessage, EndpointListUpdate, ListedEndpoint};
 use backoff::{ReconnectBackoff, longest_wait};
 use client::DiscoveryClient;
 use endpoint_list::{EndpointList, EntryParser};
@@ -51,7 +51,7 @@
     client: DiscoveryClient,
     backoff: ReconnectBackoff,
     parser: EntryParser,
-    messages: mpsc::Sender<Message>,
+    messages: mpsc::Sender<DriverMessage>,
     readiness: Readiness,
     /// The cached list, until it has been applied.
     cached_list: Option<String>,
@@ -83,7 +83,7 @@
 
 impl Discovery {
     /// Returns a discovery that has made no call yet, and sends lists to `messages`.
-    pub(crate) fn new(options: DiscoveryOptions, messages: mpsc::Sender<Message>) -> Self {
+    pub(crate) fn new(options: DiscoveryOptions, messages: mpsc::Sender<DriverMessage>) -> Self {
         let longest_wait = longest_wait(options.drain_grace);
         Discovery {
             client: DiscoveryClient::new(options.address, 2 * longest_wait),
@@ -189,7 +189,7 @@
 
     /// Sends an update to the driver.
     async fn publish(&self, kind: ListKind, endpoints: Vec<ListedEndpoint>) {
-        let update = Message::EndpointList(EndpointListUpdate { kind, endpoints });
+        let update = DriverMessage::EndpointList(EndpointListUpdate { kind, endpoints });
         let _ = self.messages.send(update).await; // fails only when the node has ended
     }
 }
--- a/crates/node/src/discovery/tests/node.rs
+++ b/crates/node/src/discovery/tests/node.rs
@@ -39,7 +39,7 @@
         let upstream = Upstream::start(clock, upstream_options(config), MemoryBudget::new(1 << 20));
         let options = driver_options(config);
         let channels = DriverChannels {
-            messages: messages.clone(),
+            driver: messages.clone(),
             discovery: commands,
         };
         let mut driver = Driver::new(clock, options, upstream, channels);
--- a/crates/node/src/downstream.rs
+++ b/crates/node/src/downstream.rs
@@ -34,7 +34,7 @@
 use crate::clock::Clock;
 use crate::logging::log;
 use crate::memory_budget::MemoryBudget;
-use crate::message::Message;
+use crate::message::DriverMessage;
 use admission::Admission;
 use connection_registry::ConnectionRegistry;
 use driver_handle::DriverHandle;
@@ -64,7 +64,7 @@
         clock: Clock,
         options: DownstreamOptions,
         budget: MemoryBudget,
-        driver: mpsc::Sender<Message>,
+        driver: mpsc::Sender<DriverMessage>,
         is_ready: Rc<Cell<bool>>,
     ) -> Self {
         let phase = Rc::new(Cell::new(ShutdownPhase::Serving));
--- a/crates/node/src/downstream/admission.rs
+++ b/crates/node/src/downstream/admission.rs
@@ -8,7 +8,7 @@
 use super::request_parser::ParsedRequest;
 use super::shutdown_phase::ShutdownPhase;
 use crate::clock::Clock;
-use crate::logging::log_peer;
+use crate::logging::log_rate_limited;
 use crate::memory_budget::MemoryBudget;
 use bytes::Bytes;
 use hyper::body::Incoming;
@@ -77,7 +77,7 @@
         read_deadline: Instant,
     ) -> Result<AdmittedRequest<'_>, Rejection> {
         let Some(lease) = self.budget.lease(head.body_length) else {
-            log_peer("request shed: memory budget exhausted");
+            log_rate_limited("request shed: memory budget exhausted");
             return Err(self.shed());
         };
         let body = request_body::read(body, head.body_length, lease, read_deadline).await?;
--- a/crates/node/src/downstream/disconnect_guard.rs
+++ b/crates/node/src/downstream/disconnect_guard.rs
@@ -1,6 +1,6 @@
 //! The detection of clients that disconnect while their requests are in flight.
 
-use crate::message::Message;
+use crate::message::DriverMessage;
 use ottertiller_balancer::RequestId;
 use tokio::sync::mpsc;
 
@@ -10,12 +10,12 @@
 pub(super) struct DisconnectGuard {
     id: RequestId,
     /// The slot in the driver's inbox for the report; `None` once disarmed.
-    permit: Option<mpsc::OwnedPermit<Message>>,
+    permit: Option<mpsc::OwnedPermit<DriverMessage>>,
 }
 
 impl DisconnectGuard {
     /// Creates an armed guard for the request, with a slot in the driver's inbox for its report.
-    pub(super) fn new(id: RequestId, permit: mpsc::OwnedPermit<Message>) -> Self {
+    pub(super) fn new(id: RequestId, permit: mpsc::OwnedPermit<DriverMessage>) -> Self {
         DisconnectGuard {
             id,
             permit: Some(permit),
@@ -31,7 +31,7 @@
 impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if let Some(permit) = self.permit.take() {
-            permit.send(Message::ClientDisconnected(self.id));
+            permit.send(DriverMessage::ClientDisconnected(self.id));
         }
     }
 }
--- a/crates/node/src/downstream/driver_handle.rs
+++ b/crates/node/src/downstream/driver_handle.rs
@@ -2,20 +2,20 @@
 
 use super::admission::{AdmittedRequest, ReceivedRequest};
 use super::disconnect_guard::DisconnectGuard;
-use crate::message::{FinalResponse, IncomingRequest, Message, UpstreamRequest};
+use crate::message::{DriverMessage, FinalResponse, IncomingRequest, UpstreamRequest};
 use ottertiller_balancer::{NewRequest, RequestId};
 use std::cell::{Cell, RefCell};
 use tokio::sync::{mpsc, oneshot};
 
 /// Passes requests to the driver.
 pub(super) struct DriverHandle {
-    inbox: mpsc::Sender<Message>,
+    inbox: mpsc::Sender<DriverMessage>,
     last_request_id: Cell<u64>,
 }
 
 impl DriverHandle {
     /// Creates a handle for the driver with this inbox.
-    pub(super) fn new(inbox: mpsc::Sender<Message>) -> Self {
+    pub(super) fn new(inbox: mpsc::Sender<DriverMessage>) -> Self {
         DriverHandle {
             inbox,
             last_request_id: Cell::new(0),
@@ -36,7 +36,8 @@
             return FinalResponse::Failed;
         };
         let mut disconnect_guard = DisconnectGuard::new(id, permit);
-        let message = Message::Request(Box::new(incoming_request(id, request, response_sender)));
+        let message =
+            DriverMessage::Request(Box::new(incoming_request(id, request, response_sender)));
         if self.inbox.send(message).await.is_err() {
             return FinalResponse::Failed;
         }
--- a/crates/node/src/downstream/graceful_shutdown.rs
+++ b/crates/node/src/downstream/graceful_shutdown.rs
@@ -10,7 +10,7 @@
 use super::listener::{Acceptor, Listener};
 use super::shutdown_phase::ShutdownPhase;
 use crate::logging::log;
-use crate::message::Message;
+use crate::message::DriverMessage;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -35,7 +35,7 @@
     pub registry: Rc<ConnectionRegistry>,
     /// The driver, which is told to end the requests that are still in flight after the drain
     /// timeout.
-    pub driver: mpsc::Sender<Message>,
+    pub driver: mpsc::Sender<DriverMessage>,
     /// How long the requests in flight may take once no further ones are served: the longest
     /// deadline of any request class.
     pub drain_timeout: Duration,
@@ -60,7 +60,7 @@
     /// would still wait. No other connection can have sent a whole request.
     async fn end_overdue_requests(&self) {
         // Fails only when the driver has ended.
-        let _ = self.driver.send(Message::Shutdown).await;
+        let _ = self.driver.send(DriverMessage::Shutdown).await;
         if !self.connections_end_within(FINAL_CLOSE_TIMEOUT).await {
             log("drain incomplete: client connections still open");
         }
--- a/crates/node/src/downstream/listener.rs
+++ b/crates/node/src/downstream/listener.rs
@@ -4,7 +4,7 @@
 
 use super::eviction::EvictionReason;
 use super::http_server::HttpServer;
-use crate::logging::log_peer;
+use crate::logging::log_rate_limited;
 use accept_error::AcceptErrorKind;
 use std::io;
 use std::rc::Rc;
@@ -103,7 +103,7 @@
 
     /// Takes the measure that helps against an accept error, and waits before the next accept.
     async fn recover(&self, error: io::Error) {
-        log_peer(format_args!("cannot accept: {error}"));
+        log_rate_limited(format_args!("cannot accept: {error}"));
         match AcceptErrorKind::from(&error) {
             // The next accepts may fail as well, so the other tasks get a turn.
             AcceptErrorKind::OneConnection => return yield_now().await,
--- a/crates/node/src/downstream/request_body.rs
+++ b/crates/node/src/downstream/request_body.rs
@@ -40,7 +40,7 @@
     if content.len() != length {
         return Err(RequestError::IncompleteBody);
     }
-    Ok(lease.keep(content.freeze()))
+    Ok(lease.attach_to(content.freeze()))
 }
 
 /// Reads the next frame of a body. Returns `None` at its end.
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -1,8 +1,8 @@
-//! The driver, which alone owns the [`Balancer`].
+//! The driver, which owns the [`Balancer`] and is the only part of the node that calls it.
 //!
-//! Its loop turns messages and timers into events for the balancer, and carries out the actions
-//! that come back; it decides nothing itself. Its [`RequestTable`] alone gives final responses, and
-//! gives each request exactly one.
+//! Its loop converts messages and due timers into events for the balancer, and executes the actions
+//! that the balancer returns. The balancer makes all decisions. Only the [`RequestTable`] sends
+//! final responses, exactly one for each request.
 
 mod actions;
 mod request_table;
@@ -10,10 +10,10 @@
 mod timer_queue;
 
 use crate::clock::Clock;
-use crate::logging::log_peer;
+use crate::logging::log_rate_limited;
 use crate::message::{
-    CompletedAttempt, CompletedHealthCheck, DiscoveryCommand, EndpointListUpdate, FinalResponse,
-    IncomingRequest, Message, StopReason,
+    CompletedAttempt, CompletedHealthCheck, DiscoveryCommand, DriverMessage, EndpointListUpdate,
+    FinalResponse, IncomingRequest, StopReason,
 };
 use crate::upstream::Upstream;
 use ottertiller_balancer::{AttemptEnd, Balancer, Event, HealthCheckEnd, RequestId, Settings};
@@ -30,31 +30,32 @@
 pub(crate) struct DriverOptions {
     /// The balancer's settings.
     pub settings: Settings,
-    /// The seed of the balancer's random choices.
+    /// The seed of the balancer's random number generator.
     pub seed: u64,
 }
 
 /// The channels on which the driver sends.
 pub(crate) struct DriverChannels {
-    /// Leads to the driver's own inbox, for the tasks that it spawns.
-    pub messages: mpsc::Sender<Message>,
-    /// Leads to discovery.
+    /// The driver's own inbox, to which the tasks that it spawns report.
+    pub driver: mpsc::Sender<DriverMessage>,
+    /// The inbox of discovery.
     pub discovery: mpsc::Sender<DiscoveryCommand>,
 }
 
-/// Runs the balancer, and carries out what it decides.
+/// Passes events to the balancer, and executes its actions.
 pub(crate) struct Driver {
     clock: Clock,
     balancer: Balancer,
     upstream: Rc<Upstream>,
     tasks: TaskSpawner,
     discovery: mpsc::Sender<DiscoveryCommand>,
+    /// The balancer's tick. Requests without a response are ended this long before their deadline.
     tick: Duration,
     requests: RequestTable,
 }
 
 impl Driver {
-    /// Creates a driver without requests.
+    /// Creates a driver that has no requests yet.
     pub(crate) fn new(
         clock: Clock,
         options: DriverOptions,
@@ -65,7 +66,7 @@
         let max_attempts = settings.limits.max_attempts.max(1) as usize;
         Driver {
             clock,
-            tasks: TaskSpawner::new(upstream.clone(), channels.messages),
+            tasks: TaskSpawner::new(upstream.clone(), channels.driver),
             upstream,
             discovery: channels.discovery,
             tick: settings.tick,
@@ -75,7 +76,7 @@
     }
 
     /// Handles messages and timers until the inbox is closed.
-    pub(crate) async fn run(&mut self, inbox: &mut mpsc::Receiver<Message>) {
+    pub(crate) async fn run(&mut self, inbox: &mut mpsc::Receiver<DriverMessage>) {
         loop {
             let next_due = self.requests.next_due();
             let timer = sleep_until(self.clock.instant(next_due.unwrap_or_default()));
@@ -105,14 +106,14 @@
         }
     }
 
-    fn on_message(&mut self, message: Message) {
+    fn on_message(&mut self, message: DriverMessage) {
         match message {
-            Message::Request(request) => self.on_request(*request),
-            Message::ClientDisconnected(id) => self.on_client_disconnected(id),
-            Message::AttemptEnded(completed) => self.on_attempt_ended(completed),
-            Message::HealthCheckEnded(completed) => self.on_health_check_ended(completed),
-            Message::EndpointList(update) => self.on_endpoint_list(update),
-            Message::Shutdown => self.on_shutdown(),
+            DriverMessage::Request(request) => self.on_request(*request),
+            DriverMessage::ClientDisconnected(id) => self.on_client_disconnected(id),
+            DriverMessage::AttemptEnded(completed) => self.on_attempt_ended(completed),
+            DriverMessage::HealthCheckEnded(completed) => self.on_health_check_ended(completed),
+            DriverMessage::EndpointList(update) => self.on_endpoint_list(update),
+            DriverMessage::Shutdown => self.on_shutdown(),
         }
     }
 
@@ -126,7 +127,8 @@
         let id = request.id;
         let inbox_delay = self.clock.now().saturating_sub(received_at);
         request.remaining = request.remaining.saturating_sub(inbox_delay);
-        // A tick early, so that the response reaches the client before it stops waiting.
+        // One tick before the deadline, so that the response reaches the client while it still
+        // waits.
         let respond_by = upstream_request.deadline.saturating_sub(self.tick);
         self.requests.insert(id, upstream_request, response_sender);
         self.requests
@@ -145,9 +147,9 @@
         let Some(attempt) = self.requests.end_attempt(id) else {
             return;
         };
-        // The first response that was served is the final response; a later one only informs the
+        // The first served response becomes the final response. A later one is only reported to the
         // balancer.
-        let responds_now = match completed.response_body {
+        let is_final_response = match completed.response_body {
             Some(body) => self
                 .requests
                 .respond(id.request, FinalResponse::Served(body)),
@@ -159,7 +161,7 @@
             endpoint: attempt.endpoint,
             outcome: completed.outcome,
             elapsed: self.clock.now().saturating_sub(attempt.started_at),
-            request_finished: attempt.needed_no_response || responds_now,
+            request_finished: attempt.needed_no_response || is_final_response,
             report: completed.load_report,
         }));
     }
@@ -190,18 +192,19 @@
         }
     }
 
-    /// Ends a request that still awaits its final response, at its deadline or at the end of the
-    /// drain. Whatever the balancer does, no request is left without one. `what` is for the log.
-    fn end_without_response(&mut self, id: RequestId, what: &str) {
+    /// Responds with [`FinalResponse::TimedOut`] if the request still awaits its final response.
+    /// Called at the deadline and at the end of the drain, this ensures that every request gets a
+    /// response even if the balancer gives it none. `cause` is the start of the log line.
+    fn end_without_response(&mut self, id: RequestId, cause: &str) {
         if self.requests.respond(id, FinalResponse::TimedOut) {
-            log_peer(format_args!("{what}: request {}: no final response", id.0));
-            // To the balancer this is a client that no longer waits: it cancels the attempts.
+            log_rate_limited(format_args!("{cause}: request {}: no final response", id.0));
+            // Reported as a disconnect, so that the balancer cancels the request's attempts.
             self.handle_event(Event::ClientDisconnected { id });
         }
     }
 
-    /// Passes an event to the balancer, and carries out the actions that follow, with the events
-    /// that these cause.
+    /// Passes an event to the balancer, and executes the actions that it returns. Events that these
+    /// actions cause are handled in the same way.
     fn handle_event(&mut self, event: Event) {
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
--- a/crates/node/src/driver/actions.rs
+++ b/crates/node/src/driver/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out the balancer's actions.
+//! Executes the balancer's actions.
 
 use super::Driver;
 use super::request_table::NewAttempt;
@@ -11,8 +11,8 @@
 use tokio::sync::oneshot;
 
 impl Driver {
-    /// Carries out an action. An attempt that cannot be started ends at once, with the event
-    /// returned.
+    /// Executes an action. If the action starts an attempt that is not permitted, returns the event
+    /// that the attempt has ended.
     pub(super) fn execute(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::StartAttempt {
@@ -102,8 +102,8 @@
     }
 }
 
-/// Returns when an attempt that starts now is stopped: at its timeout, if it has one, but at the
-/// deadline at the latest.
+/// Returns when an attempt that starts now is stopped: after its timeout or at the deadline,
+/// whichever is earlier. A timeout of zero stands for none.
 fn attempt_expiry(now: Duration, timeout: Duration, deadline: Duration) -> Duration {
     if timeout.is_zero() {
         deadline
--- a/crates/node/src/driver/request_table.rs
+++ b/crates/node/src/driver/request_table.rs
@@ -1,8 +1,8 @@
 //! The table of requests in flight, and the timers that belong to them.
 //!
-//! The table alone decides when a request is finished. As soon as a request has its final response
-//! and all its attempts have ended, it is removed together with its timers, whichever event came
-//! last; no caller has to remember that.
+//! A request is finished when it has its final response and all its attempts have ended. The table
+//! then removes it together with its timers, whichever event came last. Callers never remove a
+//! request.
 
 mod attempt;
 mod in_flight_request;
@@ -58,8 +58,8 @@
         self.requests.insert(id, request);
     }
 
-    /// Sends the final response to the client's handler. No other function does. Returns whether
-    /// the request awaited it.
+    /// Sends the final response to the client's request handler. No other function does. Returns
+    /// whether the request still awaited it.
     pub(super) fn respond(&mut self, id: RequestId, response: FinalResponse) -> bool {
         let Some(response_sender) = self.take_response_sender(id) else {
             return false;
@@ -69,8 +69,8 @@
         true
     }
 
-    /// Records that the client has disconnected, and needs no response. Returns whether the request
-    /// awaited one.
+    /// Records that the client has disconnected and needs no response. Returns whether the request
+    /// still awaited one.
     pub(super) fn client_disconnected(&mut self, id: RequestId) -> bool {
         self.take_response_sender(id).is_some()
     }
@@ -82,8 +82,8 @@
         Some(response_sender)
     }
 
-    /// Starts a further attempt of a request, if it is permitted; `None` if the request is not in
-    /// flight.
+    /// Starts a further attempt of a request, if it is permitted. Returns `None` if the request is
+    /// not in flight.
     pub(super) fn start_attempt(
         &mut self,
         id: RequestId,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Ends an attempt; `None` if it is unknown or had ended before.
+    /// Ends an attempt. Returns `None` if it is unknown or had ended before.
     pub(super) fn end_attempt(&mut self, id: AttemptId) -> Option<EndedAttempt> {
         let request = self.requests.get_mut(&id.request)?;
         let ended = request.end_attempt(id.number)?;
@@ -118,7 +118,7 @@
             .collect()
     }
 
-    /// Removes a request that is finished, and its timers with it. No other function does.
+    /// Removes the request and its timers if it is finished. No other function removes requests.
     fn remove_if_finished(&mut self, id: RequestId) {
         let Entry::Occupied(entry) = self.requests.entry(id) else {
             return;
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Returns when the next timer is due; `None` if no timer is pending.
+    /// Returns when the next timer is due, or `None` if no timer is pending.
     pub(super) fn next_due(&self) -> Option<Duration> {
         self.timers.next_due()
     }
--- a/crates/node/src/driver/request_table/attempt.rs
+++ b/crates/node/src/driver/request_table/attempt.rs
@@ -1,4 +1,4 @@
-//! The states of one attempt, from its start to its end.
+//! The state of one attempt, from its start to its end.
 
 use crate::message::StopReason;
 use ottertiller_balancer::EndpointId;
@@ -12,9 +12,9 @@
     state: AttemptState,
 }
 
-/// An attempt's state. It moves from each state only to later ones.
+/// An attempt's state. An attempt moves only from an earlier state to a later one.
 enum AttemptState {
-    /// In flight; the sender stops it.
+    /// In flight. The sender tells it to stop.
     Running(oneshot::Sender<StopReason>),
     /// Told to stop; its outcome has not been reported.
     Stopping,
@@ -26,7 +26,7 @@
 pub(crate) struct EndedAttempt {
     /// The endpoint to which it was sent.
     pub endpoint: EndpointId,
-    /// When it started, as the node's clock shows it.
+    /// When it started, as a time of the node's clock.
     pub started_at: Duration,
     /// Whether the request had its final response before this attempt ended, or needed none as its
     /// client had disconnected.
@@ -66,15 +66,16 @@
     pub(super) fn stop(&mut self, reason: StopReason) {
         match std::mem::replace(&mut self.state, AttemptState::Stopping) {
             AttemptState::Running(stop_sender) => {
-                // An error means that the attempt has just ended, and its outcome is on its way.
+                // An error means that the attempt has just ended; its outcome is about to be
+                // reported.
                 let _ = stop_sender.send(reason);
             }
             unchanged => self.state = unchanged,
         }
     }
 
-    /// Ends the attempt; `None` if it had ended before. `needs_no_response` says whether its
-    /// request has the final response.
+    /// Ends the attempt. Returns `None` if it had ended before. `needs_no_response` says whether
+    /// its request has its final response, or needs none as its client has disconnected.
     pub(super) fn end(&mut self, needs_no_response: bool) -> Option<EndedAttempt> {
         if self.has_ended() {
             return None;
--- a/crates/node/src/driver/request_table/in_flight_request.rs
+++ b/crates/node/src/driver/request_table/in_flight_request.rs
@@ -11,18 +11,18 @@
 /// A request in flight.
 pub(super) struct InFlightRequest {
     upstream_request: Rc<UpstreamRequest>,
-    /// Takes the final response; `None` once it has been sent or the client has disconnected.
+    /// Sends the final response; `None` once it has been sent or the client has disconnected.
     response_sender: Option<oneshot::Sender<FinalResponse>>,
-    /// In the order of their start: an attempt's number is its position.
+    /// The attempts in the order of their start. An attempt's number is its position.
     attempts: Vec<TrackedAttempt>,
-    /// The request's pending timers. They are removed with it, since a deadline may be minutes
-    /// away.
+    /// The request's pending timers. They are removed with the request, since its deadline may be
+    /// minutes away.
     timers: Vec<TimerKey>,
 }
 
-/// A further attempt of a request, which is started if it is permitted.
+/// The result of starting a further attempt of a request.
 pub(crate) enum NewAttempt {
-    /// The attempt is to be made.
+    /// The attempt is permitted and in flight; the caller has to send it.
     Started {
         /// The number of the attempt.
         number: u32,
@@ -31,7 +31,7 @@
         /// Receives the reason if the attempt is to stop.
         stop_signal: oneshot::Receiver<StopReason>,
     },
-    /// The attempt is not permitted, and counts as one that ended without being sent.
+    /// The attempt is not permitted. It counts as one that ended without being sent.
     NotStarted {
         /// The number of the attempt.
         number: u32,
@@ -61,13 +61,13 @@
         self.response_sender.is_none()
     }
 
-    /// Returns whether the request has its final response and all its attempts have ended.
+    /// Returns whether the request needs no response and all its attempts have ended.
     pub(super) fn is_finished(&self) -> bool {
         self.needs_no_response() && self.attempts.iter().all(TrackedAttempt::has_ended)
     }
 
-    /// Takes the sender of the final response, after which no attempt sends the request any more;
-    /// `None` if it was taken before.
+    /// Takes the sender of the final response, and discards the request's body, so that no attempt
+    /// sends the request any more. Returns `None` if the sender was taken before.
     pub(super) fn take_response_sender(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
         let response_sender = self.response_sender.take()?;
         self.upstream_request.discard_body();
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Ends the attempt of this number; `None` if there is none or it had ended before.
+    /// Ends the attempt of this number. Returns `None` if there is none or it had ended before.
     pub(super) fn end_attempt(&mut self, number: u32) -> Option<EndedAttempt> {
         let needs_no_response = self.needs_no_response();
         let attempt = self.attempts.get_mut(number as usize)?;
--- a/crates/node/src/driver/tasks.rs
+++ b/crates/node/src/driver/tasks.rs
@@ -1,7 +1,7 @@
-//! The tasks that the driver spawns, one for each attempt and each health check. The end of a task
-//! is a message to the driver.
+//! The tasks that the driver spawns, one for each attempt and each health check. Each task sends a
+//! message to the driver when it ends.
 
-use crate::message::{Message, StopReason};
+use crate::message::{DriverMessage, StopReason};
 use crate::upstream::Upstream;
 use crate::upstream::attempt::Attempt;
 use ottertiller_balancer::EndpointId;
@@ -13,42 +13,42 @@
 /// Spawns the driver's tasks.
 pub(super) struct TaskSpawner {
     upstream: Rc<Upstream>,
-    messages: mpsc::Sender<Message>,
+    driver: mpsc::Sender<DriverMessage>,
 }
 
 impl TaskSpawner {
-    /// Creates a spawner whose tasks report to `messages`, the driver's inbox.
-    pub(super) fn new(upstream: Rc<Upstream>, messages: mpsc::Sender<Message>) -> Self {
-        TaskSpawner { upstream, messages }
+    /// Creates a spawner whose tasks report to the driver's inbox.
+    pub(super) fn new(upstream: Rc<Upstream>, driver: mpsc::Sender<DriverMessage>) -> Self {
+        TaskSpawner { upstream, driver }
     }
 
-    /// Makes an attempt in a task of its own.
+    /// Spawns a task that makes an attempt.
     pub(super) fn spawn_attempt(
         &self,
         attempt: Attempt,
         stop_signal: oneshot::Receiver<StopReason>,
     ) {
         let upstream = self.upstream.clone();
-        let messages = self.messages.clone();
+        let driver = self.driver.clone();
         spawn_local(async move {
             let completed = upstream.run_attempt(attempt, stop_signal).await;
-            report(&messages, Message::AttemptEnded(completed)).await;
+            report(&driver, DriverMessage::AttemptEnded(completed)).await;
         });
     }
 
-    /// Checks an endpoint's health in a task of its own. `started_at` is when the check was decided
-    /// on.
+    /// Spawns a task that checks an endpoint's health. `started_at` is when the balancer requested
+    /// the check.
     pub(super) fn spawn_health_check(&self, endpoint: EndpointId, started_at: Duration) {
         let upstream = self.upstream.clone();
-        let messages = self.messages.clone();
+        let driver = self.driver.clone();
         spawn_local(async move {
             let completed = upstream.check_health(endpoint, started_at).await;
-            report(&messages, Message::HealthCheckEnded(completed)).await;
+            report(&driver, DriverMessage::HealthCheckEnded(completed)).await;
         });
     }
 }
 
-async fn report(messages: &mpsc::Sender<Message>, message: Message) {
-    // Fails only when the driver has ended, and nobody needs the message.
-    let _ = messages.send(message).await;
+async fn report(driver: &mpsc::Sender<DriverMessage>, message: DriverMessage) {
+    // Fails only if the driver has ended, which needs no further messages.
+    let _ = driver.send(message).await;
 }
--- a/crates/node/src/driver/tests/host.rs
+++ b/crates/node/src/driver/tests/host.rs
@@ -1,4 +1,4 @@
-//! A driver under test with the parts around it, in virtual time.
+//! A test harness that runs a driver and its upstream side in virtual time.
 
 use crate::clock::Clock;
 use crate::config::Config;
@@ -6,7 +6,8 @@
 use crate::driver::{Driver, DriverChannels};
 use crate::memory_budget::MemoryBudget;
 use crate::message::{
-    EndpointListUpdate, FinalResponse, IncomingRequest, ListedEndpoint, Message, UpstreamRequest,
+    DriverMessage, EndpointListUpdate, FinalResponse, IncomingRequest, ListedEndpoint,
+    UpstreamRequest,
 };
 use crate::startup::{driver_options, upstream_options};
 use crate::upstream::{Upstream, pool};
@@ -21,27 +22,27 @@
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
-/// The memory budget, in bytes.
-const BUDGET: usize = 4 << 20;
+/// The size of the memory budget, in bytes.
+const BUDGET_BYTES: usize = 4 << 20;
 /// The size of a request's body, in bytes.
-pub(super) const BODY: usize = 512;
+pub(super) const BODY_BYTES: usize = 512;
 /// The latency objective of all classes.
-pub(super) const TARGET: Duration = Duration::from_millis(200);
+pub(super) const LATENCY_OBJECTIVE: Duration = Duration::from_millis(200);
 /// The deadline of all classes.
 pub(super) const DEADLINE: Duration = Duration::from_millis(400);
-/// Longer than any deadline, timeout and cooldown of a connection.
-pub(super) const SETTLED: Duration = Duration::from_secs(5);
+/// Longer than any deadline, timeout and connection cooldown, so that all of them have passed.
+pub(super) const SETTLE_TIME: Duration = Duration::from_secs(5);
 
 /// The class of idempotent requests.
-pub(super) const READ: usize = 0;
+pub(super) const IDEMPOTENT: usize = 0;
 /// The class of keyed requests.
-pub(super) const SUBMIT: usize = 1;
+pub(super) const KEYED: usize = 1;
 /// The class of requests that are not idempotent.
-pub(super) const CORRECT: usize = 2;
+pub(super) const NOT_IDEMPOTENT: usize = 2;
 
-/// Returns a configuration whose endpoints report their load as `reports` says, in the words of the
-/// settings file.
-pub(super) fn config(reports: &str, late_weight: f64) -> Config {
+/// Returns a configuration with these values of the settings `LoadReport.Via` and
+/// `Classes[N].LateWorth`.
+pub(super) fn config(load_report_via: &str, late_weight: f64) -> Config {
     let class = |name: &str, idempotency: &str| {
         format!(
             r#"{{"Name":"{name}","Target":200,"GiveUp":400,"Idempotency":"{idempotency}","Group":"cell",
@@ -57,29 +58,29 @@
     let text = format!(
         r#"{{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"7","settings":{{"Classes":[{classes}],
         "NInstances":2,"Quantum":1,"Rules":{{"DrainGrace":60000}},
-        "LoadReport":{{"Columns":["concurrent","depth"],"Via":"{reports}"}},
+        "LoadReport":{{"Columns":["concurrent","depth"],"Via":"{load_report_via}"}},
         "Permissions":{{"AttemptsCap":3,"Cancel":true,"ParallelTries":true,"Probes":true,"RetryAfter":true,
         "MaxRetryAfter":500,"ConnectTimeout":100,"IdleClose":2000}}}}}}"#
     );
     Config::parse(&text).expect("a valid configuration")
 }
 
-/// A driver under test, and the parts around it.
-pub(super) struct Host {
+/// A driver under test, with its inbox and the source of its messages.
+pub(super) struct DriverHarness {
     pub driver: Driver,
-    inbox: mpsc::Receiver<Message>,
-    peers: Peers,
+    inbox: mpsc::Receiver<DriverMessage>,
+    source: MessageSource,
 }
 
-/// Sends what the downstream side and discovery would send.
-pub(super) struct Peers {
+/// Sends the driver the messages that the downstream side and discovery would send.
+pub(super) struct MessageSource {
     clock: Clock,
-    pub messages: mpsc::Sender<Message>,
+    pub messages: mpsc::Sender<DriverMessage>,
     budget: MemoryBudget,
     last_id: Cell<u64>,
 }
 
-/// The number of entries and bytes in use on behalf of requests.
+/// The table entries and the memory that are in use for requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Usage {
     /// Requests in flight.
@@ -90,23 +91,23 @@
     pub leased_bytes: usize,
 }
 
-impl Host {
-    /// Creates a driver, which runs only during [`Host::run`].
+impl DriverHarness {
+    /// Creates the harness. The driver runs only during [`DriverHarness::run`].
     pub(super) fn start(config: &Config) -> Self {
         let clock = Clock::start();
         let (messages, inbox) = mpsc::channel(4096);
         let (discovery, _) = mpsc::channel(16);
-        let budget = MemoryBudget::new(BUDGET);
+        let budget = MemoryBudget::new(BUDGET_BYTES);
         let upstream = Upstream::start(clock, upstream_options(config), budget.clone());
         let channels = DriverChannels {
-            messages: messages.clone(),
+            driver: messages.clone(),
             discovery,
         };
         let driver = Driver::new(clock, driver_options(config), upstream, channels);
-        Host {
+        DriverHarness {
             driver,
             inbox,
-            peers: Peers {
+            source: MessageSource {
                 clock,
                 messages,
                 budget,
@@ -115,23 +116,23 @@
         }
     }
 
-    /// Runs the driver until `scenario` has ended.
-    pub(super) async fn run<T>(&mut self, scenario: impl AsyncFnOnce(&Peers) -> T) -> T {
+    /// Runs the driver until `scenario` completes, and returns its result.
+    pub(super) async fn run<T>(&mut self, scenario: impl AsyncFnOnce(&MessageSource) -> T) -> T {
         tokio::select! {
-            () = self.driver.run(&mut self.inbox) => panic!("the node ended"),
-            result = scenario(&self.peers) => result,
+            () = self.driver.run(&mut self.inbox) => panic!("the driver ended"),
+            result = scenario(&self.source) => result,
         }
     }
 
-    /// Sends a request, and lets `time` pass.
+    /// Sends a request, and runs the driver for `time`.
     pub(super) async fn request_and_advance(
         &mut self,
         class: usize,
         script: &str,
         time: Duration,
     ) -> (RequestId, oneshot::Receiver<FinalResponse>) {
-        self.run(async |peers| {
-            let request = peers.request(class, script, DEADLINE).await;
+        self.run(async |source| {
+            let request = source.send_request(class, script, DEADLINE).await;
             sleep(time).await;
             request
         })
@@ -150,27 +151,27 @@
         Usage {
             requests,
             timers,
-            leased_bytes: BUDGET - self.peers.budget.available(),
+            leased_bytes: BUDGET_BYTES - self.source.budget.available(),
         }
     }
 }
 
-impl Peers {
-    /// Sends an update of the endpoint list, and waits until it has been handled.
-    pub(super) async fn list(&self, kind: ListKind, endpoints: Vec<ListedEndpoint>) {
+impl MessageSource {
+    /// Sends an endpoint list update, and waits until it has been handled.
+    pub(super) async fn send_list(&self, kind: ListKind, endpoints: Vec<ListedEndpoint>) {
         let sent = self
             .messages
-            .send(Message::EndpointList(EndpointListUpdate {
+            .send(DriverMessage::EndpointList(EndpointListUpdate {
                 kind,
                 endpoints,
             }))
             .await;
-        sent.expect("the node runs");
+        sent.expect("the driver runs");
         sleep(Duration::from_millis(1)).await;
     }
 
-    /// Sends a client's request; `script` is what the endpoint does with it.
-    pub(super) async fn request(
+    /// Sends a client's request. `script` tells the scripted endpoint what to do with it.
+    pub(super) async fn send_request(
         &self,
         class: usize,
         script: &str,
@@ -192,9 +193,9 @@
             response_sender,
         };
         self.messages
-            .send(Message::Request(Box::new(incoming)))
+            .send(DriverMessage::Request(Box::new(incoming)))
             .await
-            .expect("the node runs");
+            .expect("the driver runs");
         (id, response)
     }
 
@@ -205,7 +206,7 @@
         script: &str,
         deadline: Duration,
     ) -> UpstreamRequest {
-        let is_keyed = class == SUBMIT;
+        let is_keyed = class == KEYED;
         let (method, name) = [
             (Method::GET, "read"),
             (Method::POST, "submit"),
@@ -213,7 +214,7 @@
         ][class]
             .clone();
         let path = format!("/{name}/{script}");
-        let body = if class == READ {
+        let body = if class == IDEMPOTENT {
             Bytes::new()
         } else {
             self.body()
@@ -231,16 +232,16 @@
     }
 
     fn body(&self) -> Bytes {
-        let lease = self.budget.lease(BODY).expect("room for a body");
-        lease.keep(Bytes::from(vec![b'.'; BODY]))
+        let lease = self.budget.lease(BODY_BYTES).expect("room for a body");
+        lease.attach_to(Bytes::from(vec![b'.'; BODY_BYTES]))
     }
 
     /// Disconnects the client of a request.
-    pub(super) async fn disconnect(&self, id: RequestId) {
+    pub(super) async fn disconnect_client(&self, id: RequestId) {
         self.messages
-            .send(Message::ClientDisconnected(id))
+            .send(DriverMessage::ClientDisconnected(id))
             .await
-            .expect("the node runs");
+            .expect("the driver runs");
     }
 }
 
--- a/crates/node/src/driver/tests/scripted_endpoint.rs
+++ b/crates/node/src/driver/tests/scripted_endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint that does with each request what the last segment of its path says.
+//! A scripted endpoint: the last segment of a request's path selects what it does.
 
 use crate::message::ListedEndpoint;
 use ottertiller_balancer::{EndpointEntry, EndpointId, EndpointState};
@@ -10,10 +10,10 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// How long the endpoint works on a slow request.
-const SLOW: Duration = Duration::from_millis(30);
+/// How long the endpoint takes for a request with the script "slow".
+const SLOW_RESPONSE_DELAY: Duration = Duration::from_millis(30);
 
-/// Starts an endpoint whose health checks report `load`.
+/// Starts an endpoint whose load reports, in response to health checks, are `load`.
 pub(super) async fn start(id: u64, load: &'static str) -> ListedEndpoint {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("the listener's address");
@@ -35,7 +35,7 @@
     ListedEndpoint { entry, address }
 }
 
-/// Serves a connection until it ends, or a script resets it.
+/// Serves a connection until it ends, or a script closes it.
 async fn serve(stream: TcpStream, load: &'static str) -> Option<()> {
     let (read, mut write) = stream.into_split();
     let mut lines = BufReader::new(read);
@@ -54,7 +54,7 @@
             "reset" => return None,
             "silence" => continue,
             "slow" => {
-                sleep(SLOW).await;
+                sleep(SLOW_RESPONSE_DELAY).await;
                 "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate".to_owned()
             }
             _ => "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".to_owned(),
--- a/crates/node/src/driver/timer_queue.rs
+++ b/crates/node/src/driver/timer_queue.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What a timer of the driver is for.
+/// A timer of the driver, by its purpose.
 #[derive(Clone, Copy)]
 pub(super) enum DriverTimer {
     /// A timer that the balancer has set.
@@ -17,8 +17,8 @@
 }
 
 impl DriverTimer {
-    /// Returns the request to which the timer belongs, and with which it is removed; `None` for a
-    /// timer that stays until it fires.
+    /// Returns the request to which the timer belongs and with which it is removed. Returns `None`
+    /// for a timer that stays until it fires.
     pub(super) fn request(self) -> Option<RequestId> {
         match self {
             DriverTimer::Balancer(Timer::EndpointPolling) => None,
@@ -28,8 +28,8 @@
     }
 }
 
-/// Identifies a pending timer. The order is that of firing: timers that are due together fire in
-/// the order in which they were set.
+/// Identifies a pending timer. Keys are ordered as the timers fire: by due time, then in the order
+/// in which they were set.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct TimerKey {
     due: Duration,
@@ -60,7 +60,7 @@
         self.timers.remove(&key);
     }
 
-    /// Returns when the next timer is due; `None` if no timer is pending.
+    /// Returns when the next timer is due, or `None` if no timer is pending.
     pub(super) fn next_due(&self) -> Option<Duration> {
         let (key, _) = self.timers.first_key_value()?;
         Some(key.due)
--- a/crates/node/src/header_names.rs
+++ b/crates/node/src/header_names.rs
@@ -2,9 +2,9 @@
 
 use hyper::header::HeaderName;
 
-/// The id that the client gives to the request, which is the same in all its attempts.
+/// The id that the client gives to a request. All attempts of the request carry it.
 pub(crate) const CALL_ID: HeaderName = HeaderName::from_static("x-call-id");
-/// The time after which the sender stops waiting, in milliseconds.
+/// How long the sender waits for the response, in milliseconds.
 pub(crate) const BUDGET_MS: HeaderName = HeaderName::from_static("x-budget-ms");
-/// The key by which endpoints drop repeats of the request.
+/// The key by which endpoints recognize and drop repeats of a request.
 pub(crate) const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -1,8 +1,8 @@
-//! Limits of the protocol and of hyper that several parts of the node share.
+//! Limits of the protocol and of hyper that several modules share.
 
-/// The largest body of a request or response, in bytes, as the protocol limits it.
+/// The largest request or response body that the protocol allows, in bytes.
 pub(crate) const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// The size of each connection's read buffer, in bytes. It is the smallest that hyper allows. A
-/// message's head must fit into it.
+/// The size of each connection's read buffer, in bytes: the smallest that hyper allows. The head of
+/// a request or response must fit into it.
 pub(crate) const READ_BUFFER_BYTES: usize = 8 * 1024;
--- a/crates/node/src/logging.rs
+++ b/crates/node/src/logging.rs
@@ -1,14 +1,14 @@
 //! The log: lines for operators on standard error.
 //!
-//! A line reads `what happened: subject: cause`. Lines that do not fit into the writer's queue are
-//! lost: the log never blocks the node.
+//! A line has the form `what happened: subject: cause`. Logging never blocks the node: lines that
+//! do not fit into the writer's queue are lost.
 
 mod rate_limit;
 mod writer;
 
 pub(crate) use writer::flush;
 
-use rate_limit::PeerLineLimit;
+use rate_limit::LineRateLimiter;
 use std::cell::Cell;
 use std::fmt::Display;
 use std::time::Instant;
@@ -18,10 +18,10 @@
     writer::write(text);
 }
 
-/// Logs a line about something that peers can cause as often as they like. Their number is limited;
-/// a line says how many were suppressed before it.
-pub(crate) fn log_peer(text: impl Display) {
-    match admit_peer_line() {
+/// Logs a line about an event that clients or endpoints can cause any number of times. The number
+/// of such lines per second is limited. A line states how many were suppressed before it.
+pub(crate) fn log_rate_limited(text: impl Display) {
+    match admit_line() {
         Some(0) => log(text),
         Some(suppressed) => log(format_args!(
             "{text} ({suppressed} messages about peers suppressed)"
@@ -30,14 +30,14 @@
     }
 }
 
-/// Admits a line about a peer, with the number of those suppressed since the last; `None` if this
-/// one is suppressed.
-fn admit_peer_line() -> Option<u64> {
+/// Returns the number of lines suppressed since the last admitted one, or `None` if this line is
+/// suppressed too.
+fn admit_line() -> Option<u64> {
     thread_local! {
-        static LIMIT: Cell<PeerLineLimit> = const { Cell::new(PeerLineLimit::new()) };
+        static LIMITER: Cell<LineRateLimiter> = const { Cell::new(LineRateLimiter::new()) };
     }
-    let mut limit = LIMIT.get();
-    let admitted = limit.admit(Instant::now());
-    LIMIT.set(limit);
+    let mut limiter = LIMITER.get();
+    let admitted = limiter.admit(Instant::now());
+    LIMITER.set(limiter);
     admitted
 }
--- a/crates/node/src/logging/writer.rs
+++ b/crates/node/src/logging/writer.rs
@@ -1,5 +1,5 @@
-//! Writes the log in a thread of its own, so that a reader that is slow or has stopped never blocks
-//! the node.
+//! Writes the log on a separate thread, so that a slow or stopped reader of standard error never
+//! blocks the node.
 
 use std::fmt::Display;
 use std::io::{self, Write};
@@ -8,37 +8,38 @@
 use std::thread;
 use std::time::Duration;
 
-/// The number of lines that may wait to be written.
+/// The number of entries that may wait to be written.
 const QUEUE_LENGTH: usize = 256;
-/// How long [`flush`] waits.
+/// How long [`flush`] waits at most.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
-/// The writer's thread needs little stack.
+/// The stack size of the writer's thread, in bytes. It needs little stack.
 const WRITER_STACK_BYTES: usize = 64 * 1024;
 
 /// An entry of the writer's queue.
 enum Entry {
     /// A line to be written.
     Line(String),
-    /// Acknowledged when all entries before it have been written.
+    /// A request to acknowledge that all entries before it have been written.
     Flush(SyncSender<()>),
 }
 
 /// The queue of the writer's thread; `None` if the thread could not be started.
 static QUEUE: OnceLock<Option<SyncSender<Entry>>> = OnceLock::new();
 
-/// Queues a line, unless the queue is full.
+/// Queues a line. Drops it if the queue is full.
 pub(super) fn write(text: impl Display) {
     if let Some(queue) = queue() {
         let _ = queue.try_send(Entry::Line(text.to_string())); // fails only if the queue is full
     }
 }
 
-/// Waits until all lines so far have been written, but not for a reader that has stopped.
+/// Waits until all lines logged so far have been written, at most for [`FLUSH_TIMEOUT`], since the
+/// reader may have stopped.
 pub(crate) fn flush() {
     let Some(queue) = queue() else { return };
-    let (written, is_written) = sync_channel(1);
-    if queue.try_send(Entry::Flush(written)).is_ok() {
-        let _ = is_written.recv_timeout(FLUSH_TIMEOUT);
+    let (acknowledge, acknowledged) = sync_channel(1);
+    if queue.try_send(Entry::Flush(acknowledge)).is_ok() {
+        let _ = acknowledged.recv_timeout(FLUSH_TIMEOUT);
     }
 }
 
@@ -55,17 +56,17 @@
     Some(queue)
 }
 
-/// Writes entries for as long as the process runs.
+/// Writes the queue's entries until the process exits.
 fn write_all(entries: Receiver<Entry>) {
     for entry in entries {
         match entry {
             Entry::Line(line) => {
-                // There is nowhere to report that the log cannot be written.
+                // An error is ignored, since there is nowhere to report it.
                 let _ = writeln!(io::stderr().lock(), "ottertiller: {line}");
             }
-            Entry::Flush(written) => {
+            Entry::Flush(acknowledge) => {
                 // An error means that the flush has timed out.
-                let _ = written.send(());
+                let _ = acknowledge.send(());
             }
         }
     }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,12 +1,12 @@
 //! A load-balancing HTTP node. [`downstream`] serves clients, [`upstream`] sends requests to
-//! endpoints, and [`discovery`] keeps the list of endpoints up to date. Between them, [`driver`]
-//! owns the balancer, which decides.
+//! endpoints, and [`discovery`] keeps the endpoint list up to date. [`driver`] connects them: it
+//! owns the balancer, which makes the load-balancing decisions.
 //!
-//! Dependencies run one way. [`startup`] builds all parts from the configuration, which only it and
-//! [`reload`] know. [`driver`] starts attempts through [`upstream`]; otherwise [`downstream`],
-//! [`driver`], [`upstream`] and [`discovery`] depend only on what they share: [`message`],
-//! [`header_names`], [`limits`], [`socket`], [`memory_budget`], [`stable_hash`], [`clock`] and
-//! [`logging`].
+//! Module dependencies have no cycles. [`startup`] creates all parts from the configuration, which
+//! only it and [`reload`] use. [`driver`] starts attempts through [`upstream`]. Otherwise
+//! [`downstream`], [`driver`], [`upstream`] and [`discovery`] do not depend on one another, but
+//! only on the shared modules: [`message`], [`header_names`], [`limits`], [`socket`],
+//! [`memory_budget`], [`stable_hash`], [`clock`] and [`logging`].
 
 mod clock;
 mod config;
@@ -43,7 +43,7 @@
     }
 }
 
-/// Runs the node on this thread alone: its parts share state without locks.
+/// Runs all parts of the node on this thread, so that they share state without locks.
 fn run() -> Result<(), NodeError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/node/src/memory_budget.rs
+++ b/crates/node/src/memory_budget.rs
@@ -1,19 +1,19 @@
-//! The memory budget for bodies. The body of a request or response is read only once its bytes have
-//! been leased.
+//! The memory budget for request and response bodies. A body is read only after memory for it has
+//! been leased from the budget.
 
 use bytes::Bytes;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// The budget of bytes for bodies. Clones share it.
+/// The memory budget for bodies, in bytes. Clones share one budget.
 #[derive(Clone)]
 pub(crate) struct MemoryBudget {
-    /// The bytes that are not leased. [`Bytes`] may be dropped on any thread, so its owner, a
-    /// [`MemoryLease`], needs an atomic.
+    /// The number of bytes that are not leased. It is atomic since a [`MemoryLease`] attached to
+    /// [`Bytes`] ends with them, and [`Bytes`] may be dropped on any thread.
     available: Arc<AtomicUsize>,
 }
 
-/// A part of the budget. Its bytes are returned when it is dropped.
+/// A number of bytes leased from the budget. They are returned when the lease is dropped.
 pub(crate) struct MemoryLease {
     budget: MemoryBudget,
     bytes: usize,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Leases `bytes`; `None` if fewer are available.
+    /// Leases a number of bytes. Returns `None` if fewer are available.
     pub(crate) fn lease(&self, bytes: usize) -> Option<MemoryLease> {
         let subtract = |available: usize| available.checked_sub(bytes);
         self.available
@@ -47,8 +47,9 @@
 }
 
 impl MemoryLease {
-    /// Ties the lease to the bytes it is for. It ends when their last copy is dropped.
-    pub(crate) fn keep(self, bytes: Bytes) -> Bytes {
+    /// Attaches the lease to the body that it is for. The lease ends when the last clone of the
+    /// returned bytes is dropped.
+    pub(crate) fn attach_to(self, bytes: Bytes) -> Bytes {
         Bytes::from_owner(LeasedBytes {
             bytes,
             _lease: self,
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -1,4 +1,5 @@
-//! The messages between the parts of the node. This module depends on none of them.
+//! The messages between the downstream side, the driver, the upstream side and discovery. This
+//! module depends on none of them.
 
 use bytes::Bytes;
 use hyper::Method;
@@ -13,8 +14,8 @@
 use tokio::sync::oneshot;
 
 /// A message to the driver.
-pub(crate) enum Message {
-    /// A client's request has been read and admitted.
+pub(crate) enum DriverMessage {
+    /// A client's request has been received and admitted.
     Request(Box<IncomingRequest>),
     /// The client of a request has disconnected.
     ClientDisconnected(RequestId),
@@ -24,7 +25,7 @@
     HealthCheckEnded(CompletedHealthCheck),
     /// The endpoint list has changed, or could not be fetched.
     EndpointList(EndpointListUpdate),
-    /// The node shuts down: every request that awaits its final response gets it now.
+    /// The drain has timed out: every request that awaits its final response gets one now.
     Shutdown,
 }
 
@@ -32,64 +33,64 @@
 pub(crate) struct IncomingRequest {
     /// The request as the balancer sees it.
     pub request: NewRequest,
-    /// When its last byte was read, as the node's clock shows it.
+    /// When its last byte was read, as a time of the node's clock.
     pub received_at: Duration,
     /// What its attempts send to endpoints.
     pub upstream_request: UpstreamRequest,
-    /// Takes its final response.
+    /// Sends its final response to the client's request handler.
     pub response_sender: oneshot::Sender<FinalResponse>,
 }
 
-/// The one final response to a request.
+/// The final response to a request. Each request gets exactly one.
 #[derive(Debug)]
 pub(crate) enum FinalResponse {
     /// Served by an endpoint, with this response body.
     Served(Bytes),
-    /// Rejected; the client may safely retry, after this delay if it is given one.
+    /// Shed. The client may safely retry, after this delay if there is one.
     Shed(Option<Duration>),
-    /// Failed, with no promise that a retry is safe.
+    /// Failed. A retry may not be safe.
     Failed,
-    /// No response by the deadline, with no promise that a retry is safe.
+    /// No response by the deadline or the end of the drain. A retry may not be safe.
     TimedOut,
 }
 
 /// A request as its attempts send it to endpoints: the parts that are forwarded unchanged, and the
-/// limits on sending them. All attempts share one.
+/// time limits on sending them. All attempts of a request share one.
 pub(crate) struct UpstreamRequest {
     /// The HTTP method.
     pub method: Method,
     /// The path and query.
     pub path: PathAndQuery,
-    /// The value of X-Call-Id.
+    /// The value of the X-Call-Id header.
     pub call_id: HeaderValue,
-    /// The value of Idempotency-Key, if the client sent one.
+    /// The value of the Idempotency-Key header, if the client sent one.
     pub idempotency_key: Option<HeaderValue>,
     /// The body; `None` once no attempt may send the request any more.
     pub body: RefCell<Option<Bytes>>,
-    /// When the client stops waiting, as the node's clock shows it.
+    /// When the client stops waiting, as a time of the node's clock.
     pub deadline: Duration,
     /// How long endpoints remember the idempotency key, from the first byte of the first attempt.
     pub idempotency_window: Option<Duration>,
-    /// When the first attempt's request was handed over for writing; `None` before that. No byte of
-    /// it was written earlier.
+    /// When the first attempt's request was passed to the connection for writing, which is before
+    /// its first byte was written; `None` before that.
     pub first_sent_at: Cell<Option<Duration>>,
 }
 
 impl UpstreamRequest {
-    /// Returns the body to send; `None` once the request has its final response or its client has
-    /// disconnected, after which nothing more is sent for it.
+    /// Returns the body to send, or `None` once the request has its final response or its client
+    /// has disconnected. No attempt sends the request after that.
     pub(crate) fn body(&self) -> Option<Bytes> {
         self.body.borrow().clone()
     }
 
-    /// Discards the body, so that no further attempt sends the request. The body's lease of the
-    /// memory budget ends once the copies that are being written have been written or dropped.
+    /// Discards the body, so that no further attempt sends the request. The body's memory lease
+    /// ends when the clones that are being written have been written or dropped.
     pub(crate) fn discard_body(&self) {
         self.body.replace(None);
     }
 }
 
-/// The reason for which an attempt is stopped.
+/// Why an attempt is stopped.
 pub(crate) enum StopReason {
     /// Its timeout has passed.
     TimedOut,
@@ -100,7 +101,7 @@
 /// Identifies an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct AttemptId {
-    /// The request that is attempted.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
     /// The position of the attempt among those of the request, from 0.
     pub number: u32,
@@ -108,7 +109,7 @@
 
 /// An attempt that has ended.
 pub(crate) struct CompletedAttempt {
-    /// Identifies the attempt.
+    /// The id of the attempt.
     pub id: AttemptId,
     /// How it ended.
     pub outcome: Outcome,
@@ -124,13 +125,13 @@
     pub endpoint: EndpointId,
     /// How it ended.
     pub outcome: Outcome,
-    /// When it started, as the node's clock shows it.
+    /// When it started, as a time of the node's clock.
     pub started_at: Duration,
     /// The load report that came with the response, if any.
     pub load_report: Option<LoadReport>,
 }
 
-/// An entry of the endpoint list, with the endpoint's address.
+/// An endpoint list entry, with the endpoint's address.
 #[derive(Clone, Debug)]
 pub(crate) struct ListedEndpoint {
     /// The entry as the balancer sees it.
@@ -139,16 +140,15 @@
     pub address: SocketAddr,
 }
 
-/// An update of the endpoint list.
+/// An endpoint list update.
 pub(crate) struct EndpointListUpdate {
-    /// Says whether the endpoints are the whole list or changes to it, or that the list could not
-    /// be fetched.
+    /// Whether the endpoints are the whole list or changes to it, or the list could not be fetched.
     pub kind: ListKind,
     /// The listed or changed endpoints; none if the list could not be fetched.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// A command from the balancer to discovery.
+/// A command from the driver to discovery, on behalf of the balancer.
 pub(crate) enum DiscoveryCommand {
     /// Watch the endpoint list for changes.
     Subscribe,
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,4 +1,5 @@
-//! Reloads the configuration on SIGHUP. Only the address of discovery can change in a running node.
+//! Reloads the configuration on SIGHUP. Only the address of discovery can change while the node
+//! runs.
 
 use crate::config::Config;
 use crate::logging::log;
@@ -9,7 +10,7 @@
 use tokio::sync::watch;
 
 /// Reloads the configuration on each signal, and publishes the address of discovery if it has
-/// changed. A configuration that cannot be used changes nothing.
+/// changed. An invalid configuration is logged and ignored.
 pub(crate) async fn reload_on_signal(
     mut signal: ReloadSignal,
     running_config: Rc<Config>,
@@ -26,7 +27,8 @@
     }
 }
 
-/// Publishes the address of discovery, and logs which other changes have no effect.
+/// Publishes the address of discovery if it has changed, and logs the keys of other changes, which
+/// have no effect before a restart.
 fn apply(config: &Config, running_config: &Config, discovery_address: &watch::Sender<SocketAddr>) {
     let keys = running_config.changes_that_need_restart(config).join(", ");
     if !keys.is_empty() {
@@ -34,12 +36,12 @@
             "configuration changes that need a restart: {keys}"
         ));
     }
-    let has_moved = discovery_address.send_if_modified(|address| {
+    let changed = discovery_address.send_if_modified(|address| {
         let differs = *address != config.discovery_address;
         *address = config.discovery_address;
         differs
     });
-    let change = if has_moved { "changed to" } else { "is still" };
+    let change = if changed { "changed to" } else { "is still" };
     log(format_args!(
         "configuration reloaded: discovery address {change} {}",
         config.discovery_address
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -1,11 +1,11 @@
-//! The signals that the node acts upon: SIGHUP reloads the configuration, SIGTERM and SIGINT shut
-//! the node down.
+//! The signals that the node handles: SIGHUP reloads the configuration, SIGTERM and SIGINT shut the
+//! node down.
 
 use std::io;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// The receivers of all signals. A signal that arrives before its handler is installed ends the
-/// process, so they are created before anything else.
+/// The receivers of all handled signals. A signal that arrives before its handler is installed
+/// terminates the process, so the handlers are installed before anything else is done.
 pub(crate) struct Signals {
     /// Requests a reload of the configuration.
     pub reload: ReloadSignal,
@@ -14,7 +14,7 @@
 }
 
 impl Signals {
-    /// Installs the handlers of all signals.
+    /// Installs the handlers of all handled signals.
     pub(crate) fn install() -> io::Result<Self> {
         Ok(Signals {
             reload: ReloadSignal {
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -14,7 +14,7 @@
 use crate::driver::{Driver, DriverChannels};
 use crate::logging::log;
 use crate::memory_budget::MemoryBudget;
-use crate::message::{DiscoveryCommand, Message};
+use crate::message::{DiscoveryCommand, DriverMessage};
 use crate::reload::reload_on_signal;
 use crate::signals::Signals;
 use crate::upstream::Upstream;
@@ -25,17 +25,17 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::spawn_local;
 
-/// The capacity of the driver's inbox. Each request in flight reserves a slot for its client's
-/// disconnect.
-const DRIVER_INBOX: usize = 4096;
-/// The capacity of discovery's inbox.
-const DISCOVERY_INBOX: usize = 16;
+/// The capacity of the driver's inbox, in messages. Each request in flight reserves a slot for the
+/// report of its client's disconnect.
+const DRIVER_INBOX_CAPACITY: usize = 4096;
+/// The capacity of discovery's inbox, in commands.
+const DISCOVERY_INBOX_CAPACITY: usize = 16;
 
 /// The parts of a node, connected but not running.
 struct Node {
     downstream: Downstream,
     driver: Driver,
-    driver_inbox: mpsc::Receiver<Message>,
+    driver_inbox: mpsc::Receiver<DriverMessage>,
     discovery: Discovery,
     discovery_inbox: mpsc::Receiver<DiscoveryCommand>,
 }
@@ -82,13 +82,13 @@
 /// Builds the parts of the node, and connects them by channels.
 fn build(config: &Config) -> Node {
     let clock = Clock::start();
-    let (messages, driver_inbox) = mpsc::channel(DRIVER_INBOX);
-    let (discovery_commands, discovery_inbox) = mpsc::channel(DISCOVERY_INBOX);
+    let (driver_messages, driver_inbox) = mpsc::channel(DRIVER_INBOX_CAPACITY);
+    let (discovery_commands, discovery_inbox) = mpsc::channel(DISCOVERY_INBOX_CAPACITY);
     let budget = MemoryBudget::new(config.capacity.body_bytes);
     let upstream = Upstream::start(clock, upstream_options(config), budget.clone());
-    let discovery = Discovery::new(discovery_options(config), messages.clone());
+    let discovery = Discovery::new(discovery_options(config), driver_messages.clone());
     let channels = DriverChannels {
-        messages: messages.clone(),
+        driver: driver_messages.clone(),
         discovery: discovery_commands,
     };
     let driver = Driver::new(clock, driver_options(config), upstream, channels);
@@ -96,7 +96,7 @@
         clock,
         downstream_options(config),
         budget,
-        messages,
+        driver_messages,
         discovery.ready(),
     );
     Node {
--- a/crates/node/src/upstream/load_report.rs
+++ b/crates/node/src/upstream/load_report.rs
@@ -1,7 +1,7 @@
 //! Load reports: what endpoints say of their load in a response's header or in a health check's
 //! body.
 
-use crate::logging::log_peer;
+use crate::logging::log_rate_limited;
 use hyper::header::{HeaderMap, HeaderName};
 use ottertiller_balancer::settings::LoadReportColumn;
 use ottertiller_balancer::{LoadReport, LoadReportSource};
@@ -31,7 +31,7 @@
         let value = headers.get(LOAD_REPORT).filter(|_| self.is_enabled())?;
         let report = value.to_str().ok().and_then(|text| self.parse(text));
         if report.is_none() {
-            log_peer(format_args!("malformed load report dropped: {value:?}"));
+            log_rate_limited(format_args!("malformed load report dropped: {value:?}"));
         }
         report
     }
--- a/crates/node/src/upstream/pool/checkout.rs
+++ b/crates/node/src/upstream/pool/checkout.rs
@@ -1,7 +1,7 @@
 //! Checking connections out of the pool: an idle one, or whichever comes first of one that is
 //! released and a new one.
 
-use crate::logging::log_peer;
+use crate::logging::log_rate_limited;
 use crate::upstream::pool::Pool;
 use crate::upstream::pool::connection::{CheckoutResult, Connection};
 use crate::upstream::pool::dial::Dial;
@@ -89,7 +89,7 @@
     fn log_not_opened(&self, endpoint: EndpointId, error: &CheckoutError) {
         if let Ok(slot) = self.endpoints.borrow_mut().listed_mut(endpoint) {
             let address = slot.address;
-            log_peer(format_args!(
+            log_rate_limited(format_args!(
                 "connection not opened: endpoint {address}: {error}"
             ));
         }
--- a/crates/node/src/upstream/pool/dial.rs
+++ b/crates/node/src/upstream/pool/dial.rs
@@ -1,7 +1,7 @@
 //! Dialling: opening a connection to an endpoint.
 
 use crate::limits::READ_BUFFER_BYTES;
-use crate::logging::log_peer;
+use crate::logging::log_rate_limited;
 use crate::socket::{self, Socket};
 use crate::upstream::pool::Pool;
 use crate::upstream::pool::connection::{CheckoutResult, Connection};
@@ -92,7 +92,7 @@
         connected.map_err(|error| {
             if let DialError::LocalResources(_) = error {
                 let cause = ErrorChain(&error);
-                log_peer(format_args!(
+                log_rate_limited(format_args!(
                     "connection not opened: endpoint {address}: {cause}"
                 ));
                 self.endpoints.borrow_mut().close_longest_idle();
--- a/crates/node/src/upstream/response.rs
+++ b/crates/node/src/upstream/response.rs
@@ -1,7 +1,7 @@
 //! Reading an endpoint's response, and what it says about the attempt or health check that it ends.
 
 use crate::limits::MAX_BODY_BYTES;
-use crate::logging::log_peer;
+use crate::logging::log_rate_limited;
 use crate::memory_budget::MemoryLease;
 use crate::upstream::Upstream;
 use crate::upstream::pool::Connection;
@@ -96,7 +96,7 @@
             Ok(lease) => lease,
             Err(error) => {
                 let address = connection.address;
-                log_peer(format_args!(
+                log_rate_limited(format_args!(
                     "response dropped: endpoint {address}: {error}"
                 ));
                 let result = ExchangeResult::without_body(Outcome::Error, load_report);
@@ -104,7 +104,7 @@
             }
         };
         let body = match Limited::new(body, MAX_BODY_BYTES).collect().await {
-            Ok(body) => lease.keep(body.to_bytes()),
+            Ok(body) => lease.attach_to(body.to_bytes()),
             Err(error) => {
                 let result = ExchangeResult::without_response(outcome_of_body_error(&*error));
                 return ReceivedResponse::closing_connection(result);
