--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -99,7 +99,7 @@
     }
 
     /// Returns the flag that says whether the node knows enough endpoints to serve.
-    pub(crate) fn ready(&self) -> Rc<Cell<bool>> {
+    pub(crate) fn ready_flag(&self) -> Rc<Cell<bool>> {
         self.readiness.flag()
     }
 
--- a/crates/node/src/downstream/connection.rs
+++ b/crates/node/src/downstream/connection.rs
@@ -1,6 +1,6 @@
 //! A client's connection: its state, and the transitions between the states.
 
-use crate::socket::Handle;
+use crate::socket::SocketHandle;
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::sync::Notify;
@@ -25,7 +25,7 @@
 
 /// A client's connection.
 pub(super) struct Connection {
-    socket: Handle,
+    socket: SocketHandle,
     accepted: Instant,
     /// Whether the client has ever sent a request's head that could be read.
     has_sent_request: Cell<bool>,
@@ -36,7 +36,7 @@
 
 impl Connection {
     /// Creates the state of a connection that has just been accepted.
-    pub(super) fn new(socket: Handle) -> Self {
+    pub(super) fn new(socket: SocketHandle) -> Self {
         let accepted = Instant::now();
         Connection {
             socket,
--- a/crates/node/src/socket.rs
+++ b/crates/node/src/socket.rs
@@ -1,4 +1,5 @@
-//! TCP streams for hyper, and handles by which the owner of a connection can still inspect it.
+//! TCP streams for hyper, each with a handle through which the owner of the connection inspects the
+//! stream while hyper reads and writes it.
 
 #[cfg(test)]
 pub(crate) mod fault_injection;
@@ -8,7 +9,7 @@
 mod stream;
 mod system_calls;
 
-pub(crate) use handle::Handle;
+pub(crate) use handle::SocketHandle;
 pub(crate) use stream::Socket;
 pub(crate) use system_calls::connect;
 
--- a/crates/node/src/socket/fault_injection.rs
+++ b/crates/node/src/socket/fault_injection.rs
@@ -1,30 +1,30 @@
-//! Faults of system calls on this thread's streams, for tests.
+//! Injects faults into the system calls on this thread's TCP streams, for tests.
 
 use rustix::io::Errno;
 use std::cell::RefCell;
 use std::io;
 
 thread_local! {
-    /// The faults that are injected on this thread.
-    static FAULTS: RefCell<Option<Plan>> = const { RefCell::new(None) };
+    /// The faults to inject on this thread; `None` if no test injects any.
+    static FAULT_PLAN: RefCell<Option<FaultPlan>> = const { RefCell::new(None) };
 }
 
-/// A fault of system calls.
+/// A kind of fault.
 #[derive(Clone, Copy)]
 enum Fault {
-    /// One call in `fail_every` fails.
+    /// Every `fail_every`-th call fails with `errno`.
     Error { errno: Errno, fail_every: u32 },
-    /// Reads hand out half of what they could at the most.
+    /// A read fills at most half of its buffer, and returns at most 32 bytes.
     ShortReads,
 }
 
-/// Which calls fail, and how many have.
+/// The fault to inject, and how often it was injected.
 #[derive(Clone, Copy)]
-struct Plan {
+struct FaultPlan {
     fault: Fault,
-    /// The calls so far that may fail.
+    /// The calls so far to which [`Fault::Error`] applies.
     calls: u32,
-    /// The faults so far.
+    /// The faults injected so far.
     injected: usize,
 }
 
@@ -32,18 +32,18 @@
 pub(crate) struct InjectedFaults(());
 
 impl InjectedFaults {
-    /// Makes one call in `fail_every` fail with `errno`.
+    /// Makes every `fail_every`-th call fail with `errno`.
     pub(crate) fn errors(errno: Errno, fail_every: u32) -> Self {
         Self::start(Fault::Error { errno, fail_every })
     }
 
-    /// Makes reads short. None of them fails.
+    /// Makes reads return fewer bytes than their buffers hold. No read fails.
     pub(crate) fn short_reads() -> Self {
         Self::start(Fault::ShortReads)
     }
 
     fn start(fault: Fault) -> Self {
-        FAULTS.set(Some(Plan {
+        FAULT_PLAN.set(Some(FaultPlan {
             fault,
             calls: 0,
             injected: 0,
@@ -53,26 +53,26 @@
 
     /// Returns how many faults were injected.
     pub(crate) fn count(&self) -> usize {
-        FAULTS.with_borrow(|plan| plan.map_or(0, |plan| plan.injected))
+        FAULT_PLAN.with_borrow(|plan| plan.map_or(0, |plan| plan.injected))
     }
 }
 
 impl Drop for InjectedFaults {
     fn drop(&mut self) {
-        FAULTS.set(None);
+        FAULT_PLAN.set(None);
     }
 }
 
-/// Returns the error of the call that is to be made now, if it is to fail.
+/// Returns the error with which the next call fails; `None` if the call is to be made.
 pub(crate) fn inject() -> Option<io::Error> {
-    FAULTS.with_borrow_mut(|plan| plan.as_mut()?.next_error())
+    FAULT_PLAN.with_borrow_mut(|plan| plan.as_mut()?.next_error())
 }
 
-/// Returns the part of a buffer that a read may fill.
+/// Returns the part of a buffer that the next read may fill.
 pub(crate) fn shorten(buffer: &mut [u8]) -> &mut [u8] {
-    let is_short = FAULTS.with_borrow_mut(|plan| {
+    let is_short = FAULT_PLAN.with_borrow_mut(|plan| {
         plan.as_mut()
-            .is_some_and(|plan| plan.shortens(buffer.len()))
+            .is_some_and(|plan| plan.next_read_is_short(buffer.len()))
     });
     let length = if is_short {
         buffer.len().min(64) / 2
@@ -82,8 +82,8 @@
     &mut buffer[..length]
 }
 
-impl Plan {
-    /// Counts a call, and returns its error if it is to fail.
+impl FaultPlan {
+    /// Counts a call, and returns the error with which it fails, if any.
     fn next_error(&mut self) -> Option<io::Error> {
         let Fault::Error { errno, fail_every } = self.fault else {
             return None;
@@ -96,8 +96,8 @@
         Some(errno.into())
     }
 
-    /// Returns whether a read into a buffer of this length is short, and counts it if so.
-    fn shortens(&mut self, length: usize) -> bool {
+    /// Returns whether a read into a buffer of this length is shortened, and counts it if so.
+    fn next_read_is_short(&mut self, length: usize) -> bool {
         let is_short = matches!(self.fault, Fault::ShortReads) && length > 1;
         self.injected += usize::from(is_short);
         is_short
--- a/crates/node/src/socket/handle.rs
+++ b/crates/node/src/socket/handle.rs
@@ -1,7 +1,8 @@
-//! Inspects a stream while hyper owns it: when bytes arrived, and whether the peer has closed.
+//! A handle that inspects a stream while hyper reads and writes it: when bytes arrived, and whether
+//! the peer has closed its side.
 
 use crate::socket::read_ahead::MAX_READ_AHEAD_BYTES;
-use crate::socket::shared::Shared;
+use crate::socket::shared::SharedSocket;
 use crate::socket::system_calls;
 use std::io::ErrorKind;
 use std::pin::pin;
@@ -11,44 +12,46 @@
 use tokio::io::Interest;
 use tokio::time::{Instant, sleep};
 
-/// How often a peer is checked that has sent more than is read ahead. Its disconnect must be
-/// noticed well within 0.1 s.
+/// How often the node checks for the disconnect of a peer that has sent more than fits into the
+/// read-ahead buffer. The disconnect must be noticed well within 0.1 s.
 const PEER_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Inspects a stream, but does not keep it open.
+/// Inspects the stream of a [`Socket`](crate::socket::Socket) without keeping it open.
 #[derive(Clone)]
-pub(crate) struct Handle(Weak<Shared>);
+pub(crate) struct SocketHandle(Weak<SharedSocket>);
 
-/// Why reading ahead has ended.
+/// Why reading ahead ended.
 #[derive(PartialEq, Eq)]
 enum ReadAheadEnd {
     /// The peer has closed its side, or the stream has failed.
     PeerClosed,
-    /// The buffer is full, or the runtime shuts down.
+    /// The read-ahead buffer is full, or the runtime is shutting down.
     Stopped,
 }
 
-impl Handle {
-    /// Returns a handle of a stream.
-    pub(super) fn new(shared: &Rc<Shared>) -> Self {
-        Handle(Rc::downgrade(shared))
+impl SocketHandle {
+    /// Returns a handle for a socket.
+    pub(super) fn new(shared: &Rc<SharedSocket>) -> Self {
+        SocketHandle(Rc::downgrade(shared))
     }
 
     /// Returns when the first bytes arrived since the stream was opened or
-    /// [`Handle::reset_first_byte`] was called.
+    /// [`SocketHandle::reset_first_byte`] was called.
     pub(crate) fn first_byte_at(&self) -> Option<Instant> {
         self.0.upgrade()?.first_byte_at.get()
     }
 
-    /// Forgets when the first bytes arrived: the next ones are the first.
+    /// Clears the time of the first bytes, so that the next bytes count as the first.
     pub(crate) fn reset_first_byte(&self) {
         if let Some(shared) = self.0.upgrade() {
             shared.first_byte_at.set(None);
         }
     }
 
-    /// Returns whether the stream is open and has nothing to read. Asks the kernel: what the
-    /// runtime knows may be one turn of the loop old.
+    /// Returns whether the stream is open and has nothing to read.
+    ///
+    /// The kernel is asked, because the runtime's readiness may be one iteration of its event loop
+    /// out of date.
     pub(crate) fn has_nothing_to_read(&self) -> bool {
         let Some(shared) = self.0.upgrade() else {
             return false;
@@ -62,9 +65,10 @@
 
     /// Waits until the peer has closed its side.
     ///
-    /// Hyper does not check for that while bytes wait behind the request it serves, so these are
-    /// read ahead, as far as there is room for them. To be polled after hyper, which has to get
-    /// first what it wants.
+    /// While hyper serves a request and further bytes wait in the stream, it does not notice that
+    /// the peer has closed. This method therefore reads those bytes ahead, until the read-ahead
+    /// buffer is full. The caller must poll hyper first, so that hyper gets the bytes that it asks
+    /// for.
     pub(crate) async fn peer_closed(&self) {
         let Some(shared) = self.0.upgrade() else {
             return;
@@ -72,16 +76,15 @@
         if fill_read_ahead(&shared).await == ReadAheadEnd::PeerClosed {
             return;
         }
-        // The buffer is full, so that the end of the stream cannot be read. The runtime still
-        // learns that the peer has closed, but wakes no task for it: it has to be checked at
-        // intervals.
+        // The buffer is full, so the end of the stream cannot be read. The runtime still learns
+        // that the peer has closed, but wakes no task for that, so it is checked periodically.
         while !self.is_peer_closed() {
             sleep(PEER_CHECK_INTERVAL).await;
         }
     }
 
-    /// Returns whether the peer is known to have closed its side, whatever waits to be read before
-    /// that.
+    /// Returns whether the runtime knows that the peer has closed its side, even if bytes are still
+    /// to be read before the end of the stream.
     pub(crate) fn is_peer_closed(&self) -> bool {
         let Some(shared) = self.0.upgrade() else {
             return true;
@@ -92,15 +95,15 @@
     }
 }
 
-/// Reads ahead until the peer has closed its side, as far as there is room.
-async fn fill_read_ahead(shared: &Shared) -> ReadAheadEnd {
+/// Reads ahead until the peer has closed its side or the read-ahead buffer is full.
+async fn fill_read_ahead(shared: &SharedSocket) -> ReadAheadEnd {
     while shared.stream.readable().await.is_ok() {
-        let room = shared.read_ahead.room();
-        if room == 0 {
+        let max_count = shared.read_ahead.remaining_capacity();
+        if max_count == 0 {
             return ReadAheadEnd::Stopped;
         }
         let mut chunk = [0; MAX_READ_AHEAD_BYTES];
-        match shared.read(&mut chunk[..room]) {
+        match shared.read(&mut chunk[..max_count]) {
             Ok(0) => return ReadAheadEnd::PeerClosed,
             Ok(count) => shared.read_ahead.push(&chunk[..count]),
             Err(error) if error.kind() == ErrorKind::WouldBlock => {}
--- a/crates/node/src/socket/read_ahead.rs
+++ b/crates/node/src/socket/read_ahead.rs
@@ -1,33 +1,33 @@
-//! A bounded buffer of bytes that were read before hyper asked for them.
+//! A bounded buffer for bytes that are read from a stream before hyper asks for them.
 
 use hyper::rt::ReadBufCursor;
 use std::cell::RefCell;
 
-/// The most bytes that are read ahead.
+/// The capacity of the read-ahead buffer.
 pub(super) const MAX_READ_AHEAD_BYTES: usize = 8 * 1024;
 
-/// Bytes that were read ahead, [`MAX_READ_AHEAD_BYTES`] at most.
+/// A buffer of at most [`MAX_READ_AHEAD_BYTES`] that were read ahead and not yet passed to hyper.
 #[derive(Default)]
-pub(super) struct ReadAhead(RefCell<Vec<u8>>);
+pub(super) struct ReadAheadBuffer(RefCell<Vec<u8>>);
 
-impl ReadAhead {
-    /// Returns how many more bytes may be read ahead.
-    pub(super) fn room(&self) -> usize {
+impl ReadAheadBuffer {
+    /// Returns how many more bytes fit into the buffer.
+    pub(super) fn remaining_capacity(&self) -> usize {
         MAX_READ_AHEAD_BYTES - self.0.borrow().len()
     }
 
-    /// Returns whether hyper has got all that was read ahead.
+    /// Returns whether every byte that was read ahead has been passed to hyper.
     pub(super) fn is_empty(&self) -> bool {
         self.0.borrow().is_empty()
     }
 
-    /// Adds bytes for which there is room.
+    /// Appends bytes. The caller passes no more than the remaining capacity.
     pub(super) fn push(&self, bytes: &[u8]) {
         self.0.borrow_mut().extend_from_slice(bytes);
     }
 
-    /// Moves as many bytes as fit to hyper's buffer; returns false if there are none.
-    pub(super) fn take(&self, buffer: &mut ReadBufCursor<'_>) -> bool {
+    /// Moves as many bytes as fit into hyper's buffer. Returns false if there are none to move.
+    pub(super) fn drain_into(&self, buffer: &mut ReadBufCursor<'_>) -> bool {
         let mut bytes = self.0.borrow_mut();
         if bytes.is_empty() {
             return false;
--- a/crates/node/src/socket/shared.rs
+++ b/crates/node/src/socket/shared.rs
@@ -1,36 +1,36 @@
-//! What a stream and its handles share.
+//! The state that a socket and its handles share.
 
-use crate::socket::read_ahead::ReadAhead;
+use crate::socket::read_ahead::ReadAheadBuffer;
 use crate::socket::system_calls;
 use std::cell::Cell;
 use std::io;
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// The most bytes that one read takes in.
+/// The most bytes that a single read returns.
 pub(super) const MAX_READ_BYTES: usize = 8 * 1024;
 
-/// A stream, and what has been observed of it.
-pub(super) struct Shared {
-    /// The stream itself.
+/// A TCP stream, and what has been read and recorded of it.
+pub(super) struct SharedSocket {
+    /// The stream.
     pub stream: TcpStream,
-    /// When the first bytes arrived since the stream was opened or this was reset.
+    /// When the first bytes arrived since the stream was opened or this field was reset.
     pub first_byte_at: Cell<Option<Instant>>,
-    /// What a handle has read and hyper has not asked for yet.
-    pub read_ahead: ReadAhead,
+    /// Bytes that a handle has read and hyper has not asked for yet.
+    pub read_ahead: ReadAheadBuffer,
 }
 
-impl Shared {
-    /// Returns the shared part of a stream of which nothing has been read.
+impl SharedSocket {
+    /// Returns the state of a stream from which nothing has been read.
     pub(super) fn new(stream: TcpStream) -> Self {
-        Shared {
+        SharedSocket {
             stream,
             first_byte_at: Cell::default(),
-            read_ahead: ReadAhead::default(),
+            read_ahead: ReadAheadBuffer::default(),
         }
     }
 
-    /// Reads what has arrived, into the buffer, and records the arrival.
+    /// Reads the bytes that have arrived into the buffer, and records when the first ones arrived.
     pub(super) fn read(&self, buffer: &mut [u8]) -> io::Result<usize> {
         let count = system_calls::read(&self.stream, buffer)?;
         if count > 0 && self.first_byte_at.get().is_none() {
--- a/crates/node/src/socket/stream.rs
+++ b/crates/node/src/socket/stream.rs
@@ -1,7 +1,7 @@
-//! The stream as hyper reads and writes it.
+//! The socket: a TCP stream with hyper's I/O traits.
 
-use crate::socket::handle::Handle;
-use crate::socket::shared::{MAX_READ_BYTES, Shared};
+use crate::socket::handle::SocketHandle;
+use crate::socket::shared::{MAX_READ_BYTES, SharedSocket};
 use crate::socket::system_calls;
 use hyper::rt::{Read, ReadBufCursor, Write};
 use socket2::SockRef;
@@ -12,19 +12,19 @@
 use std::task::{Context, Poll, ready};
 use tokio::net::TcpStream;
 
-/// A TCP stream for hyper. It closes when it is dropped.
-pub(crate) struct Socket(Rc<Shared>);
+/// A TCP stream that hyper reads and writes. The stream closes when the socket is dropped.
+pub(crate) struct Socket(Rc<SharedSocket>);
 
 impl Socket {
-    /// Returns the stream and its handle.
-    pub(crate) fn new(stream: TcpStream) -> (Self, Handle) {
-        let _ = stream.set_nodelay(true); // without it the stream is only slower
-        let shared = Rc::new(Shared::new(stream));
-        let handle = Handle::new(&shared);
+    /// Returns a socket for the stream, and its handle.
+    pub(crate) fn new(stream: TcpStream) -> (Self, SocketHandle) {
+        let _ = stream.set_nodelay(true); // on failure the stream is slower, but works
+        let shared = Rc::new(SharedSocket::new(stream));
+        let handle = SocketHandle::new(&shared);
         (Socket(shared), handle)
     }
 
-    /// Writes once the stream is writable.
+    /// Calls `write` once the stream is writable, and again while it returns `WouldBlock`.
     fn poll_try_write(
         &self,
         cx: &mut Context<'_>,
@@ -46,7 +46,7 @@
         cx: &mut Context<'_>,
         mut buffer: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.0.read_ahead.take(&mut buffer) {
+        if self.0.read_ahead.drain_into(&mut buffer) {
             return Poll::Ready(Ok(()));
         }
         let max_count = buffer.remaining().min(MAX_READ_BYTES);
--- a/crates/node/src/socket/system_calls.rs
+++ b/crates/node/src/socket/system_calls.rs
@@ -1,5 +1,7 @@
-//! The connects, reads, peeks and writes on the streams of clients, endpoints and discovery. Tests
-//! make them fail here, since the kernel cannot be made to interrupt or shorten a call at will.
+//! The connect, read, peek and write calls on the TCP streams of clients, endpoints and discovery.
+//!
+//! A call that is interrupted (`EINTR`) is repeated. Tests inject faults here, because they cannot
+//! make the kernel interrupt or shorten a call.
 
 use socket2::SockRef;
 use std::io::{self, ErrorKind, IoSlice};
@@ -7,7 +9,7 @@
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 
-/// Connects to an address, again if the call is interrupted.
+/// Connects to an address.
 pub(crate) async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     loop {
         match TcpStream::connect(address).await {
@@ -17,35 +19,35 @@
     }
 }
 
-/// Reads what has arrived, into the buffer, and returns the number of bytes.
+/// Reads the bytes that have arrived into the buffer, and returns their number.
 pub(super) fn read(stream: &TcpStream, buffer: &mut [u8]) -> io::Result<usize> {
     #[cfg(test)]
     let buffer = super::fault_injection::shorten(buffer);
-    call(|| stream.try_read(buffer))
+    retry_if_interrupted(|| stream.try_read(buffer))
 }
 
-/// Looks for a byte that can be read, and leaves it there. Fails with `WouldBlock` if there is
-/// none.
+/// Checks for a byte to read without consuming it. Fails with `WouldBlock` if there is none.
 pub(super) fn peek(stream: &TcpStream) -> io::Result<usize> {
-    call(|| SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]))
+    retry_if_interrupted(|| SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]))
 }
 
-/// Writes as much as there is room for, and returns the number of bytes.
+/// Writes as many bytes as the stream accepts now, and returns their number.
 pub(super) fn write(stream: &TcpStream, bytes: &[u8]) -> io::Result<usize> {
-    call(|| stream.try_write(bytes))
+    retry_if_interrupted(|| stream.try_write(bytes))
 }
 
-/// Writes as much of several slices as there is room for, and returns the number of bytes.
+/// Writes as many bytes of several slices as the stream accepts now, and returns their number.
 pub(super) fn write_vectored(stream: &TcpStream, slices: &[IoSlice<'_>]) -> io::Result<usize> {
-    call(|| stream.try_write_vectored(slices))
+    retry_if_interrupted(|| stream.try_write_vectored(slices))
 }
 
-/// Makes a call, again if it is interrupted: that says nothing of the connection.
-fn call<T>(mut make: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+/// Makes a system call, and repeats it while it is interrupted: `EINTR` does not mean that the
+/// connection has failed.
+fn retry_if_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     #[cfg(test)]
-    let mut make = || super::fault_injection::inject().map_or_else(&mut make, Err);
+    let mut call = || super::fault_injection::inject().map_or_else(&mut call, Err);
     loop {
-        match make() {
+        match call() {
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             result => return result,
         }
--- a/crates/node/src/socket/tests.rs
+++ b/crates/node/src/socket/tests.rs
@@ -8,10 +8,10 @@
 use tokio::net::TcpListener;
 use tokio::time::timeout;
 
-/// What the kernel may take to pass on what a peer did, in real time.
-const KERNEL: Duration = Duration::from_millis(20);
-/// A client counts as disconnected 0.1 s after it closed. Time is the runtime's own, and advances
-/// only when all wait.
+/// How long the kernel may take to deliver what a peer did, in real time.
+const KERNEL_DELAY: Duration = Duration::from_millis(20);
+/// A peer counts as disconnected 0.1 s after it closed. The runtime's clock is paused, and advances
+/// only while every task waits.
 const DISCONNECT_DEADLINE: Duration = Duration::from_millis(100);
 
 #[test]
@@ -21,7 +21,7 @@
         .start_paused(true)
         .build();
     runtime.expect("a runtime").block_on(async {
-        for (waits, resets) in [
+        for (unread_bytes, resets) in [
             (0, false),
             (1, false),
             (MAX_READ_AHEAD_BYTES, false),
@@ -30,29 +30,30 @@
         ] {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let address = listener.local_addr().expect("its address");
-            let mut peer = std::net::TcpStream::connect(address).expect("the listener accepts");
+            let mut peer = std::net::TcpStream::connect(address).expect("connect to the listener");
             let (stream, _) = listener.accept().await.expect("the peer");
             let (_socket, handle) = Socket::new(stream);
-            peer.write_all(&vec![b'.'; waits]).expect("room");
+            peer.write_all(&vec![b'.'; unread_bytes])
+                .expect("write to the socket");
             assert!(
                 timeout(DISCONNECT_DEADLINE, handle.peer_closed())
                     .await
                     .is_err(),
-                "it is there, with {waits} bytes waiting"
+                "the peer is connected, with {unread_bytes} unread bytes"
             );
             if resets {
                 SockRef::from(&peer)
                     .set_linger(Some(Duration::ZERO))
-                    .expect("a reset at its close");
+                    .expect("make the close a reset");
             }
             drop(peer);
-            // The kernel is to have it before time moves on: it may be held up where the machine is
-            // busy.
-            std::thread::sleep(KERNEL);
-            let known = timeout(DISCONNECT_DEADLINE, handle.peer_closed()).await;
+            // The kernel must deliver the close before the paused clock advances, and on a busy
+            // machine that takes real time.
+            std::thread::sleep(KERNEL_DELAY);
+            let noticed = timeout(DISCONNECT_DEADLINE, handle.peer_closed()).await;
             assert!(
-                known.is_ok(),
-                "{waits} bytes wait before its end, resets: {resets}"
+                noticed.is_ok(),
+                "the peer has closed, with {unread_bytes} unread bytes, reset: {resets}"
             );
         }
     });
@@ -67,22 +68,22 @@
     runtime.expect("a runtime").block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("its address");
-        let mut peer = std::net::TcpStream::connect(address).expect("the listener accepts");
+        let mut peer = std::net::TcpStream::connect(address).expect("connect to the listener");
         let (stream, _) = listener.accept().await.expect("the peer");
         let (_socket, handle) = Socket::new(stream);
         let faults = InjectedFaults::errors(Errno::INTR, 2);
         assert!(
             (0..2).all(|_| handle.has_nothing_to_read()),
-            "it is open and has sent nothing"
+            "the peer is connected and has sent nothing"
         );
         for _ in 0..4 {
-            peer.write_all(b".").expect("room");
-            std::thread::sleep(KERNEL);
+            peer.write_all(b".").expect("write to the socket");
+            std::thread::sleep(KERNEL_DELAY);
             assert!(
                 timeout(DISCONNECT_DEADLINE, handle.peer_closed())
                     .await
                     .is_err(),
-                "it is there"
+                "the peer is connected"
             );
         }
         assert!(faults.count() >= 4);
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -97,7 +97,7 @@
         downstream_options(config),
         budget,
         messages,
-        discovery.ready(),
+        discovery.ready_flag(),
     );
     Node {
         downstream,
--- a/crates/node/src/upstream/pool/connection.rs
+++ b/crates/node/src/upstream/pool/connection.rs
@@ -1,6 +1,6 @@
 //! Connections to endpoints.
 
-use crate::socket::Handle;
+use crate::socket::SocketHandle;
 use crate::upstream::pool::epoch::Epoch;
 use crate::upstream::pool::error::CheckoutError;
 use crate::upstream::pool::limit::ConnectionPermit;
@@ -12,33 +12,34 @@
 use std::time::Duration;
 use tokio::task::AbortHandle;
 
-/// A connection, or why there is none.
+/// The result of a checkout or a dial.
 pub(super) type CheckoutResult = Result<Connection, CheckoutError>;
 
-/// A connection to an endpoint. When dropped it closes at once, even in the middle of an exchange.
+/// A connection to an endpoint. Dropping it closes it at once, even during an exchange.
 pub(crate) struct Connection {
-    /// Where it leads.
+    /// The endpoint to which it leads.
     pub endpoint: EndpointId,
-    /// The address that it was dialled at.
+    /// The address that was dialled.
     pub address: SocketAddr,
-    /// The epoch of the endpoint that it was dialled for.
+    /// The endpoint's epoch when the connection was dialled.
     pub epoch: Epoch,
-    /// The end of its cool-down after a response, on the node's clock: it carries no further
+    /// The end of its cool-down after a response, on the node's clock. It carries no further
     /// request before that.
     pub cooling_until: Duration,
     /// Sends a request on it.
     pub sender: SendRequest<Full<Bytes>>,
-    /// Inspects its stream.
-    pub(super) socket: Handle,
-    /// The task that drives it.
+    /// Inspects its TCP stream.
+    pub(super) socket: SocketHandle,
+    /// The task that runs its HTTP layer.
     pub(super) task: AbortHandle,
-    /// Returned to the limit when the connection is dropped.
+    /// Its share of the connection limit, which is returned when the connection is dropped.
     pub(super) _permit: ConnectionPermit,
 }
 
 impl Connection {
-    /// Returns whether the connection may carry a request. Bytes that arrived behind a response
-    /// would be read as the next one.
+    /// Returns whether the connection may carry a request: it is open and has no unread bytes.
+    /// Bytes that arrived after the last response would be read as the response to the next
+    /// request.
     pub(crate) fn is_usable(&self) -> bool {
         !self.sender.is_closed() && self.socket.has_nothing_to_read()
     }
