--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -1,4 +1,4 @@
-//! The upstream side: connections to endpoints, attempts of requests and health checks.
+//! The upstream side of the node: connections to endpoints, attempts and health checks.
 
 pub(crate) mod attempt;
 mod health_check;
@@ -23,21 +23,21 @@
     pub pool: pool::PoolOptions,
     /// How endpoints report their load.
     pub load_report_source: LoadReportSource,
-    /// The columns of load reports that are taken in.
+    /// The columns of load reports that are read; the others are ignored.
     pub load_report_columns: Vec<LoadReportColumn>,
 }
 
 /// Sends attempts and health checks to endpoints.
 pub(crate) struct Upstream {
     clock: Clock,
-    /// Memory for the bodies of requests and responses.
+    /// The memory budget for the bodies of requests and responses.
     budget: MemoryBudget,
     pool: Rc<Pool>,
     load_reports: LoadReportParser,
 }
 
 impl Upstream {
-    /// Returns an upstream side that knows no endpoint yet, and starts the tasks of its pool.
+    /// Creates an upstream side that knows no endpoint yet, and starts its pool's background task.
     pub(crate) fn start(clock: Clock, options: UpstreamOptions, budget: MemoryBudget) -> Rc<Self> {
         Rc::new(Upstream {
             clock,
@@ -55,7 +55,7 @@
         self.pool.update(kind, listed);
     }
 
-    /// Returns what the pool holds now.
+    /// Returns how much the pool holds now.
     #[cfg(test)]
     pub(crate) fn pool_usage(&self) -> pool::PoolUsage {
         self.pool.usage()
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -1,5 +1,5 @@
-//! Attempts: sending a request to one endpoint, until it responds, the attempt fails or it is
-//! stopped.
+//! Attempts: sending a request to one endpoint, until the endpoint responds, or the attempt fails
+//! or is stopped.
 
 use crate::message::{AttemptId, CompletedAttempt, StopReason, UpstreamRequest};
 use crate::upstream::Upstream;
@@ -17,22 +17,23 @@
 use tokio::sync::oneshot;
 use tokio::sync::oneshot::error::RecvError;
 
-/// The most connections in a row that may turn out broken before the request was written to them.
+/// An attempt fails after this many connections in a row broke before its request was written to
+/// them.
 const MAX_BROKEN_CONNECTIONS: usize = 4;
 
-/// A connection broke before a byte of the request was written to it: the request may go out on
-/// another one.
+/// The connection broke before any byte of the request was written to it, so the attempt may use
+/// another connection.
 struct BrokenBeforeWrite;
 
 /// An attempt to be made.
 pub(crate) struct Attempt {
-    /// The attempt.
+    /// Identifies the attempt.
     pub id: AttemptId,
-    /// Where it goes.
+    /// The endpoint to which the request is sent.
     pub endpoint: EndpointId,
     /// When the node stops waiting for it, on the node's clock.
     pub expires_at: Duration,
-    /// What is sent.
+    /// The request.
     pub upstream_request: Rc<UpstreamRequest>,
 }
 
@@ -47,7 +48,7 @@
         let result = tokio::select! {
             biased;
             result = self.exchange_attempt(&attempt, &written) => result,
-            // The exchange is dropped, and its connection closes.
+            // Returning drops the exchange, which closes its connection.
             reason = stop_signal => {
                 let outcome = outcome_of_stop(reason, written.get());
                 ExchangeResult::without_response(outcome)
@@ -61,8 +62,10 @@
         }
     }
 
-    /// Sends the request and reads the response, on another connection if one breaks before
-    /// anything was written to it; `written` is true while the endpoint may have got any of it.
+    /// Sends the request and reads the response. Uses another connection if one breaks before any
+    /// byte of the request was written to it.
+    ///
+    /// Keeps `written` true while the endpoint may have received a part of the request.
     async fn exchange_attempt(&self, attempt: &Attempt, written: &Cell<bool>) -> ExchangeResult {
         for _ in 0..MAX_BROKEN_CONNECTIONS {
             if let Ok(result) = self.exchange_once(attempt, written).await {
@@ -84,7 +87,7 @@
         };
         let ready = connection.sender.ready().await;
         ready.map_err(|_| BrokenBeforeWrite)?;
-        // Time has passed since the decision: what was permitted then may not be any more.
+        // Waiting for a connection took time: the attempt may no longer be permitted.
         let Some(request) = self.permitted_request(attempt, &connection) else {
             self.pool.release(connection);
             return Ok(ExchangeResult::without_response(Outcome::NotSent));
@@ -96,8 +99,7 @@
         }
     }
 
-    /// Reads the response, and gives the connection back to the pool if it can carry another
-    /// request.
+    /// Reads the response, and returns the connection to the pool if it can carry another request.
     async fn receive(
         &self,
         connection: Connection,
@@ -110,7 +112,7 @@
         received.result
     }
 
-    /// Returns the request as it is to be written now, if it still may be.
+    /// Returns the request to write now; `None` if it may no longer be written.
     fn permitted_request(
         &self,
         attempt: &Attempt,
@@ -121,9 +123,9 @@
     }
 }
 
-/// Returns how an attempt ended whose request could not be sent, or got no response.
+/// Returns the result of an attempt whose request could not be sent, or got no response.
 ///
-/// An error that gives the request back means that not a byte of it was written.
+/// If the error contains the request, hyper has written no byte of it.
 fn result_of_send_error(
     mut error: TrySendError<Request<Full<Bytes>>>,
     written: &Cell<bool>,
@@ -136,8 +138,8 @@
     Ok(ExchangeResult::without_response(outcome))
 }
 
-/// Returns how an attempt ended that was stopped. The reason is missing if the driver has forgotten
-/// the attempt.
+/// Returns the outcome of an attempt that was stopped. `reason` is an error if the driver dropped
+/// its sender, because it no longer tracks the attempt.
 fn outcome_of_stop(reason: Result<StopReason, RecvError>, written: bool) -> Outcome {
     if !written {
         return Outcome::NotSent;
--- a/crates/node/src/upstream/attempt/tests.rs
+++ b/crates/node/src/upstream/attempt/tests.rs
@@ -16,16 +16,16 @@
 
 const MINUTE: Duration = Duration::from_secs(60);
 
-/// Makes an attempt after a change since it was decided on; returns its outcome and what its
-/// endpoint was sent.
-fn outcome_after(
+/// Makes an attempt after `change` has altered it or its endpoint. Returns its outcome, and the
+/// first bytes that the endpoint received.
+fn run_attempt_after(
     change: impl FnOnce(&Pool, &mut Attempt, ListedEndpoint, Duration),
 ) -> (Outcome, String) {
-    outcome_of_response("", change)
+    run_attempt_with_response("", change)
 }
 
-/// As [`outcome_after`], of an endpoint that sends this before it closes the connection.
-fn outcome_of_response(
+/// As [`run_attempt_after`], with an endpoint that sends `response` and then closes the connection.
+fn run_attempt_with_response(
     response: &'static str,
     change: impl FnOnce(&Pool, &mut Attempt, ListedEndpoint, Duration),
 ) -> (Outcome, String) {
@@ -53,13 +53,13 @@
             upstream_request: Rc::new(upstream_request),
         };
         change(&pool, &mut attempt, endpoint, now);
-        let (_stop, stopped) = oneshot::channel();
-        let served = spawn_local(async move {
+        let (_stop_sender, stop_signal) = oneshot::channel();
+        let endpoint_task = spawn_local(async move {
             let (mut stream, _) = listener.accept().await.expect("a dial");
-            let mut sent = [0; 15];
-            let read = stream.read(&mut sent).await.unwrap_or_default();
-            let _ = stream.write_all(response.as_bytes()).await; // the attempt may be over
-            String::from_utf8_lossy(&sent[..read]).into_owned()
+            let mut received = [0; 15];
+            let count = stream.read(&mut received).await.unwrap_or_default();
+            let _ = stream.write_all(response.as_bytes()).await; // fails if the attempt has ended
+            String::from_utf8_lossy(&received[..count]).into_owned()
         });
         let load_reports = LoadReportParser::new(LoadReportSource::None, Vec::new());
         let upstream = Upstream {
@@ -68,28 +68,31 @@
             pool: pool.clone(),
             load_reports,
         };
-        let result = Rc::new(upstream).run_attempt(attempt, stopped).await;
+        let result = Rc::new(upstream).run_attempt(attempt, stop_signal).await;
         pool.update(ListKind::Snapshot, &[]); // closes the idle connections
-        (result.outcome, served.await.expect("the endpoint's part"))
+        (
+            result.outcome,
+            endpoint_task.await.expect("the received bytes"),
+        )
     })
 }
 
 #[test]
 fn an_attempt_that_is_still_permitted_is_written() {
     assert_eq!(
-        outcome_after(|_, _, _, _| {}),
+        run_attempt_after(|_, _, _, _| {}),
         (Outcome::Reset, "POST /submit/1 ".to_owned())
     );
 }
 
 #[test]
 fn an_attempt_that_is_no_longer_permitted_is_never_sent() {
-    let nothing = || (Outcome::NotSent, String::new());
-    let late = outcome_after(|_, attempt, _, now| attempt.expires_at = now);
-    assert_eq!(late, nothing(), "its time is over");
-    let over = outcome_after(|_, attempt, _, _| attempt.upstream_request.discard_body());
-    assert_eq!(over, nothing(), "the request has its final response");
-    let forgotten = outcome_after(|_, attempt, _, now| {
+    let not_sent = || (Outcome::NotSent, String::new());
+    let expired = run_attempt_after(|_, attempt, _, now| attempt.expires_at = now);
+    assert_eq!(expired, not_sent(), "the attempt has expired");
+    let responded = run_attempt_after(|_, attempt, _, _| attempt.upstream_request.discard_body());
+    assert_eq!(responded, not_sent(), "the request has its final response");
+    let forgotten = run_attempt_after(|_, attempt, _, now| {
         attempt
             .upstream_request
             .first_sent_at
@@ -97,17 +100,17 @@
     });
     assert_eq!(
         forgotten,
-        nothing(),
+        not_sent(),
         "endpoints have forgotten the first attempt of a keyed request"
     );
-    let drained = outcome_after(|pool, _, mut endpoint, _| {
+    let drained = run_attempt_after(|pool, _, mut endpoint, _| {
         endpoint.entry.state = EndpointState::Draining;
         pool.update(ListKind::Delta, &[endpoint]);
     });
     assert_eq!(
         drained,
-        nothing(),
-        "the endpoint drains, though its grace is not over"
+        not_sent(),
+        "the endpoint drains, although its drain grace has not passed"
     );
 }
 
@@ -121,15 +124,15 @@
     ] {
         let faults = fault();
         assert_eq!(
-            outcome_of_response(SERVED, |_, _, _, _| {}).0,
+            run_attempt_with_response(SERVED, |_, _, _, _| {}).0,
             Outcome::Served
         );
-        assert!(faults.count() > 0, "it is reached");
+        assert!(faults.count() > 0, "no fault was injected");
     }
 }
 
-/// The connection has failed once the request was on its way: nothing says that the request never
-/// ran.
+/// If the connection fails after the request was written, the request may have run. The outcome
+/// must not be one that says that the request never ran.
 #[test]
 fn an_attempt_whose_connection_fails_after_the_write_is_reset() {
     for errno in [
@@ -140,13 +143,13 @@
     ] {
         for fail_every in [2, 3] {
             let faults = InjectedFaults::errors(errno, fail_every);
-            let (outcome, _) = outcome_of_response(SERVED, |_, _, _, _| {});
+            let (outcome, _) = run_attempt_with_response(SERVED, |_, _, _, _| {});
             assert_eq!(
                 outcome,
                 Outcome::Reset,
-                "{errno:?} on one call of {fail_every}"
+                "one call in {fail_every} fails with {errno:?}"
             );
-            assert!(faults.count() > 0, "it is reached");
+            assert!(faults.count() > 0, "no fault was injected");
         }
     }
 }
--- a/crates/node/src/upstream/health_check.rs
+++ b/crates/node/src/upstream/health_check.rs
@@ -1,5 +1,5 @@
-//! Health checks: asking an endpoint for its load, or whether it is alive where endpoints report no
-//! load.
+//! Health checks: requests that ask an endpoint for its load report, or only whether it is alive if
+//! endpoints report no load.
 
 use crate::message::CompletedHealthCheck;
 use crate::upstream::response::{ExchangeResult, outcome_of_error};
@@ -9,16 +9,16 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// How long a health check may take: what a slower one would say is out of date.
+/// The time limit of a health check. The result of a slower one would be out of date.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
-/// The path that responds with a load report.
+/// The path of an endpoint's load report.
 const STATS_PATH: &str = "/stats";
-/// The path that responds if the endpoint is alive.
+/// The path that an endpoint serves while it is alive.
 const LIVENESS_PATH: &str = "/health/live";
 
 impl Upstream {
-    /// Checks an endpoint's health. `started_at` is when the check was decided on, on the node's
-    /// clock.
+    /// Checks an endpoint's health. `started_at` is when the balancer decided on the check, on the
+    /// node's clock.
     pub(crate) async fn check_health(
         self: Rc<Self>,
         endpoint: EndpointId,
@@ -56,14 +56,15 @@
         };
         let received = self.read_response(connection, response).await;
         if let Some(connection) = received.connection {
-            // An endpoint found idle is mostly sent a request at once, over this connection.
+            // No cool-down: if the check finds the endpoint idle, a request mostly follows at once,
+            // on this connection.
             self.pool.release(connection);
         }
         received.result
     }
 
-    /// Returns the load report of a health check. The one in the body is fuller than the one in the
-    /// headers.
+    /// Returns the load report of a health check. The report in the body is preferred, because it
+    /// is more complete than the one in the headers.
     fn report_of_health_check(&self, result: &ExchangeResult) -> Option<LoadReport> {
         let in_body = result
             .body
--- a/crates/node/src/upstream/load_report.rs
+++ b/crates/node/src/upstream/load_report.rs
@@ -1,27 +1,27 @@
-//! Load reports: what endpoints say of their load in a response's header or in a health check's
-//! body.
+//! Load reports, which endpoints send in a header of a response or in the body of a health check's
+//! response.
 
 use crate::logging::log_peer;
 use hyper::header::{HeaderMap, HeaderName};
 use ottertiller_balancer::settings::LoadReportColumn;
 use ottertiller_balancer::{LoadReport, LoadReportSource};
 
-/// Carries the load report of a response.
+/// The response header that carries a load report.
 const LOAD_REPORT: HeaderName = HeaderName::from_static("x-load-report");
 
-/// Parses load reports as the settings describe them.
+/// Parses load reports in the form that the settings describe.
 pub(super) struct LoadReportParser {
     source: LoadReportSource,
     columns: Vec<LoadReportColumn>,
 }
 
 impl LoadReportParser {
-    /// Returns a parser that takes in these columns and leaves out all others.
+    /// Returns a parser that reads these columns and ignores all others.
     pub(super) fn new(source: LoadReportSource, columns: Vec<LoadReportColumn>) -> Self {
         LoadReportParser { source, columns }
     }
 
-    /// Returns whether endpoints report their load at all.
+    /// Returns whether endpoints report their load.
     pub(super) fn is_enabled(&self) -> bool {
         self.source != LoadReportSource::None
     }
@@ -45,7 +45,7 @@
         self.parse(std::str::from_utf8(body).ok()?)
     }
 
-    /// Parses `inflight=7,queue=2`; returns `None` unless all of it is well formed.
+    /// Parses a report such as `inflight=7,queue=2`; returns `None` if any part of it is malformed.
     fn parse(&self, text: &str) -> Option<LoadReport> {
         let mut report = LoadReport::default();
         for field in text.trim().split(',') {
--- a/crates/node/src/upstream/load_report/tests.rs
+++ b/crates/node/src/upstream/load_report/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn only_the_columns_of_the_site_are_taken_in() {
+fn only_the_configured_columns_are_read() {
     let report = parser(LoadReportSource::HealthChecks)
         .parse_body(b" inflight=7, queue=2,latency_ms = 1.5\n");
     let expected = LoadReport {
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_report_that_is_malformed_in_part_is_dropped_altogether() {
+fn a_report_with_a_malformed_part_is_dropped_whole() {
     let parser = parser(LoadReportSource::Responses);
     for text in [
         "",
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn no_report_is_read_where_endpoints_report_no_load() {
+fn no_report_is_read_if_endpoints_report_no_load() {
     let headers = HeaderMap::from_iter([(LOAD_REPORT, HeaderValue::from_static("inflight=7"))]);
     assert!(
         parser(LoadReportSource::Responses)
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -1,5 +1,5 @@
-//! The pool of connections to endpoints: which endpoints may be sent to and where they listen, the
-//! connections that are open to them, and the attempts that wait for one.
+//! The pool of connections to endpoints. It knows which endpoints accept requests and on which
+//! address, and holds the open connections to them and the attempts that wait for a connection.
 
 mod checkout;
 mod connection;
@@ -25,13 +25,13 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// How long connections cool down after a response.
+/// How long a connection stays unused after a response.
 ///
-/// A second copy of a response may arrive some milliseconds behind the first. On a connection that
-/// carries another request by then, it would be taken for the response to that. Copies have been
-/// seen up to 4 ms late; a longer cool-down costs handshakes.
+/// A duplicate of a response may arrive some milliseconds after the first. If the connection carried
+/// another request by then, the duplicate would be read as the response to that request. Duplicates
+/// have been seen up to 4 ms late. A longer cool-down would cost handshakes.
 pub(crate) const RESPONSE_COOLDOWN: Duration = Duration::from_millis(6);
-/// The shortest time between two sweeps for connections that have been idle for too long.
+/// The shortest interval between two sweeps that close expired idle connections.
 const MIN_SWEEP_INTERVAL: Duration = Duration::from_millis(5);
 /// The number of sweeps within one idle timeout.
 const SWEEPS_PER_IDLE_TIMEOUT: u32 = 8;
@@ -43,17 +43,17 @@
     pub max_connections: usize,
     /// How long a dial may take.
     pub connect_timeout: Duration,
-    /// Endpoints close connections that have been idle for so long.
+    /// The idle timeout after which endpoints close connections.
     pub endpoint_idle_timeout: Duration,
     /// How long a connection stays unused after a response; [`RESPONSE_COOLDOWN`] except in tests.
     pub response_cooldown: Duration,
 }
 
-/// What the pool holds.
+/// The number of items that the pool holds.
 #[cfg(test)]
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct PoolUsage {
-    /// The endpoints that are known.
+    /// Known endpoints.
     pub endpoints: usize,
     /// Open connections, dials in flight included.
     pub open_connections: usize,
@@ -63,22 +63,24 @@
     pub dials_in_flight: usize,
 }
 
-/// The pool, shared by all attempts and health checks.
+/// The connection pool, which all attempts and health checks share.
 pub(crate) struct Pool {
     clock: Clock,
     options: PoolOptions,
-    /// How long a connection may be idle.
+    /// How long a connection may be idle before the pool closes it.
     idle_timeout: Duration,
     limit: ConnectionLimit,
     endpoints: RefCell<EndpointTable>,
 }
 
 impl Pool {
-    /// Returns a pool that knows no endpoint yet, and starts the task that closes idle connections.
+    /// Creates a pool that knows no endpoint yet, and starts the task that closes expired idle
+    /// connections.
     pub(crate) fn start(clock: Clock, options: PoolOptions) -> Rc<Self> {
         let pool = Rc::new(Pool {
             clock,
-            // A request written just when the endpoint closes the connection would end as a reset.
+            // Shorter than the endpoint's timeout: a request that is written just as the endpoint
+            // closes the connection would end as a reset.
             idle_timeout: options.endpoint_idle_timeout * 3 / 4,
             limit: ConnectionLimit::new(options.max_connections),
             endpoints: RefCell::default(),
@@ -88,7 +90,7 @@
         pool
     }
 
-    /// Closes connections that have been idle for too long, before their endpoints do.
+    /// Closes expired idle connections at intervals, before their endpoints close them.
     async fn sweep_idle(self: Rc<Self>) {
         let interval = (self.idle_timeout / SWEEPS_PER_IDLE_TIMEOUT).max(MIN_SWEEP_INTERVAL);
         loop {
@@ -99,15 +101,15 @@
         }
     }
 
-    /// Applies an update of the endpoint list: where endpoints listen, and which are ready.
+    /// Applies an update of the endpoint list: the addresses and states of endpoints.
     pub(crate) fn update(&self, kind: ListKind, listed: &[ListedEndpoint]) {
         self.endpoints.borrow_mut().apply(kind, listed);
     }
 
-    /// Takes back a connection that has carried nothing since it was checked out or dialled, or
-    /// whose last exchange needs no cool-down.
+    /// Returns a connection to the pool without a cool-down: one that has carried nothing since it
+    /// was checked out or dialled, or only an exchange that needs no cool-down.
     ///
-    /// The longest waiting attempt gets it; if nobody waits, it stays idle for the next.
+    /// The attempt that has waited longest gets it. If none waits, it becomes idle.
     pub(crate) fn release(&self, connection: Connection) {
         let mut endpoints = self.endpoints.borrow_mut();
         let Some(slot) = endpoints.in_epoch_mut(connection.endpoint, connection.epoch) else {
@@ -121,8 +123,7 @@
         }
     }
 
-    /// Takes back a connection that has carried the response to a request. It is available once it
-    /// has cooled down.
+    /// Returns a connection to the pool after a response. It becomes available after its cool-down.
     pub(crate) fn release_after_response(self: &Rc<Self>, mut connection: Connection) {
         let now = self.clock.now();
         let endpoint = connection.endpoint;
@@ -137,7 +138,8 @@
         }
     }
 
-    /// Gives those who still wait after the cool-down a connection that is available by then.
+    /// Waits for the cool-down to pass, and then gives a usable idle connection to the endpoint's
+    /// longest waiting attempt, if any still waits.
     async fn offer_after_cooldown(self: Rc<Self>, endpoint: EndpointId) {
         sleep(self.options.response_cooldown).await;
         if let Some(connection) = self.take_for_waiter(endpoint) {
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Takes an idle connection if anybody waits for one.
+    /// Takes a usable idle connection if any attempt waits for one.
     fn take_for_waiter(&self, endpoint: EndpointId) -> Option<Connection> {
         let mut endpoints = self.endpoints.borrow_mut();
         let slot = endpoints
@@ -154,17 +156,18 @@
         slot.idle.take_usable(self.clock.now(), self.idle_timeout)
     }
 
-    /// Returns where a connection leads, if a request may still be sent there: the endpoint is
-    /// ready, and still the one that was chosen.
+    /// Returns the address to which a connection leads, if a request may still be sent on it: the
+    /// endpoint must be ready, and in the epoch in which the connection was dialled.
     ///
-    /// The grace of a drain is for requests that have been written by then.
+    /// A draining endpoint gets no request, not even within the drain grace: that is for requests
+    /// that were written before the drain began.
     pub(crate) fn destination(&self, connection: &Connection) -> Option<SocketAddr> {
         let endpoints = self.endpoints.borrow();
         let slot = endpoints.in_epoch(connection.endpoint, connection.epoch)?;
         slot.is_ready().then_some(slot.address)
     }
 
-    /// Returns what the pool holds now.
+    /// Returns the number of items that the pool holds now.
     #[cfg(test)]
     pub(crate) fn usage(&self) -> PoolUsage {
         let endpoints = self.endpoints.borrow();
--- a/crates/node/src/upstream/pool/checkout.rs
+++ b/crates/node/src/upstream/pool/checkout.rs
@@ -1,5 +1,5 @@
-//! Checking connections out of the pool: an idle one, or whichever comes first of one that is
-//! released and a new one.
+//! Checking connections out of the pool: an idle connection, or else the first to become available
+//! of a released one and a newly dialled one.
 
 use crate::logging::log_peer;
 use crate::upstream::pool::Pool;
@@ -13,16 +13,16 @@
 
 /// A checkout that waits for a connection.
 ///
-/// A connection that was delivered but not fetched goes back to the pool when this is dropped: it
-/// has cost its endpoint a handshake.
+/// If it is dropped after a connection was delivered and before [`PendingCheckout::wait`] returned
+/// it, the connection goes back to the pool: closing it would waste the handshake.
 struct PendingCheckout<'a> {
     pool: &'a Pool,
-    /// Where the connection arrives.
+    /// Receives the connection, or the error that there is none.
     delivery: oneshot::Receiver<CheckoutResult>,
 }
 
 impl PendingCheckout<'_> {
-    /// Waits until a connection is delivered, or none will be.
+    /// Waits until a connection is delivered or the checkout has failed.
     async fn wait(mut self) -> CheckoutResult {
         let delivered = (&mut self.delivery).await;
         delivered.unwrap_or(Err(CheckoutError::EndpointUnavailable))
@@ -39,8 +39,8 @@
 }
 
 impl Pool {
-    /// Takes the most recently used idle connection, or else whichever comes first of one that is
-    /// released and a new one.
+    /// Takes the most recently used idle connection. If there is none, waits for the first to
+    /// become available of a released connection and a newly dialled one.
     pub(crate) async fn checkout(self: &Rc<Self>, endpoint: EndpointId) -> CheckoutResult {
         if let Some(connection) = self.take_idle(endpoint)? {
             return Ok(connection);
@@ -51,14 +51,15 @@
         self.enqueue(endpoint)?.wait().await
     }
 
-    /// Takes the most recently used idle connection that may carry a request.
+    /// Takes the most recently used idle connection that is usable.
     fn take_idle(&self, endpoint: EndpointId) -> Result<Option<Connection>, CheckoutError> {
         let mut endpoints = self.endpoints.borrow_mut();
         let slot = endpoints.listed_mut(endpoint)?;
         Ok(slot.idle.take_usable(self.clock.now(), self.idle_timeout))
     }
 
-    /// Returns whether a further waiter would have no dial to wait for.
+    /// Returns whether one more waiter needs another dial: there must be at least as many dials in
+    /// flight as waiters.
     fn needs_dial(&self, endpoint: EndpointId) -> Result<bool, CheckoutError> {
         let mut endpoints = self.endpoints.borrow_mut();
         let slot = endpoints.listed_mut(endpoint)?;
@@ -66,10 +67,10 @@
         Ok(slot.dials_in_flight <= slot.waiters.len())
     }
 
-    /// Starts to open a connection in the background.
+    /// Starts to dial an endpoint in the background.
     fn start_dial(self: &Rc<Self>, endpoint: EndpointId) -> Result<(), CheckoutError> {
-        // The permit may cost an idle connection to any endpoint, so that the table must not be
-        // borrowed yet.
+        // Acquiring the permit may close an idle connection, which borrows the endpoint table. So
+        // the table must not be borrowed yet.
         let permit = self
             .acquire_permit()
             .inspect_err(|error| self.log_not_opened(endpoint, error))?;
@@ -85,7 +86,7 @@
         Ok(())
     }
 
-    /// Logs that no connection is opened to an endpoint, by its address.
+    /// Logs that no connection is opened to an endpoint, with its address and the reason.
     fn log_not_opened(&self, endpoint: EndpointId, error: &CheckoutError) {
         if let Ok(slot) = self.endpoints.borrow_mut().listed_mut(endpoint) {
             let address = slot.address;
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Adds the caller to those who wait for a connection.
+    /// Adds a waiter for a connection to an endpoint.
     fn enqueue(&self, endpoint: EndpointId) -> Result<PendingCheckout<'_>, CheckoutError> {
         let mut endpoints = self.endpoints.borrow_mut();
         let slot = endpoints.listed_mut(endpoint)?;
@@ -105,8 +106,8 @@
         })
     }
 
-    /// Returns a permit for one more connection. The longest idle connection is closed if the limit
-    /// is reached.
+    /// Acquires a permit for one more connection. If the limit is reached, closes the longest idle
+    /// connection of any endpoint to make room.
     fn acquire_permit(&self) -> Result<ConnectionPermit, CheckoutError> {
         if let Some(permit) = self.limit.try_acquire() {
             return Ok(permit);
--- a/crates/node/src/upstream/pool/dial.rs
+++ b/crates/node/src/upstream/pool/dial.rs
@@ -1,4 +1,4 @@
-//! Dialling: opening a connection to an endpoint.
+//! Dialling: opening connections to endpoints.
 
 use crate::limits::READ_BUFFER_BYTES;
 use crate::logging::log_peer;
@@ -19,23 +19,23 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// A connection to be opened.
+/// A connection to open.
 pub(super) struct Dial {
     /// The endpoint to connect to.
     pub endpoint: EndpointId,
-    /// Its epoch when the dial was decided on.
+    /// The endpoint's epoch when the dial was started.
     pub epoch: Epoch,
-    /// Where it listens.
+    /// The address on which the endpoint listens.
     pub address: SocketAddr,
-    /// The right to have the connection open.
+    /// The connection's share of the connection limit.
     pub permit: ConnectionPermit,
 }
 
 /// Why a dial failed.
 #[derive(Debug, thiserror::Error)]
 enum DialError {
-    /// This node or its system is out of descriptors, memory or ports, which says nothing about the
-    /// endpoint.
+    /// This node or its host is out of file descriptors, memory or ports. The endpoint is not at
+    /// fault.
     #[error("out of local resources")]
     LocalResources(#[source] io::Error),
     /// The endpoint could not be connected to.
@@ -50,7 +50,8 @@
 }
 
 impl DialError {
-    /// Tells a want of this node's own resources from the failure of a connect.
+    /// Classifies the error of a connect: a lack of local resources, or a failure to reach the
+    /// endpoint.
     fn from_connect(error: io::Error) -> Self {
         match Errno::from_io_error(&error) {
             Some(
@@ -73,23 +74,24 @@
 }
 
 impl Pool {
-    /// Opens a connection in the background, for the attempt that waits longest when it is open.
+    /// Opens a connection in the background, and gives it to the attempt that has waited longest by
+    /// then.
     pub(super) fn spawn_dial(self: &Rc<Self>, dial: Dial) {
         let pool = self.clone();
         spawn_local(async move {
             let endpoint = dial.endpoint;
             let epoch = dial.epoch;
             let result = pool.dial(dial).await;
-            pool.dial_ended(endpoint, epoch, result);
+            pool.finish_dial(endpoint, epoch, result);
         });
     }
 
-    /// Opens a connection. If this node is out of resources, the longest idle one is closed for the
-    /// next dial.
+    /// Opens a connection. If local resources are exhausted, closes the longest idle connection, so
+    /// that the next dial may succeed.
     async fn dial(&self, dial: Dial) -> CheckoutResult {
         let address = dial.address;
-        let connected = connect(dial, self.options.connect_timeout).await;
-        connected.map_err(|error| {
+        let result = connect(dial, self.options.connect_timeout).await;
+        result.map_err(|error| {
             if let DialError::LocalResources(_) = error {
                 let cause = ErrorChain(&error);
                 log_peer(format_args!(
@@ -101,32 +103,32 @@
         })
     }
 
-    /// Gives the connection to the longest waiting attempt, or fails those that are left without a
-    /// dial.
-    fn dial_ended(&self, endpoint: EndpointId, epoch: Epoch, result: CheckoutResult) {
+    /// Releases the new connection to the pool, and fails the waiters for which no dial is left.
+    fn finish_dial(&self, endpoint: EndpointId, epoch: Epoch, result: CheckoutResult) {
         match self.endpoints.borrow_mut().in_epoch_mut(endpoint, epoch) {
             Some(slot) => slot.dials_in_flight -= 1,
-            // The endpoint has moved, restarted, drained or been removed since: its waiters have
-            // failed by that.
+            // The endpoint has moved, restarted, drained or been removed since, which has failed
+            // its waiters.
             None => return,
         }
         let failure = match result {
             Ok(connection) => {
                 self.release(connection);
-                // Waiters are left without a dial only if it has broken at once.
+                // Waiters without a dial remain only if this connection broke at once.
                 CheckoutError::ConnectionClosed
             }
             Err(error) => error,
         };
         if let Some(slot) = self.endpoints.borrow_mut().get_mut(endpoint) {
-            // More wait than there are dials: the longest waiting learns that its dial has failed.
+            // A failed dial fails the longest waiting attempts, until no more wait than dials are
+            // in flight.
             slot.waiters.remove_cancelled();
-            slot.waiters.fail_down_to(slot.dials_in_flight, failure);
+            slot.waiters.fail_excess(slot.dials_in_flight, failure);
         }
     }
 }
 
-/// Opens a connection within a timeout, and starts the task that drives it.
+/// Opens a connection within a timeout, and starts the task that runs its HTTP layer.
 async fn connect(dial: Dial, connect_timeout: Duration) -> Result<Connection, DialError> {
     let connected = timeout(connect_timeout, socket::connect(dial.address)).await;
     let stream = connected
@@ -139,7 +141,7 @@
         .await;
     let (sender, connection_task) = handshake.map_err(DialError::Handshake)?;
     let task = spawn_local(async move {
-        let _ = connection_task.await; // an error shows in the exchange on it
+        let _ = connection_task.await; // the exchange on the connection reports the error
     });
     Ok(Connection {
         endpoint: dial.endpoint,
--- a/crates/node/src/upstream/pool/endpoint_table.rs
+++ b/crates/node/src/upstream/pool/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The endpoints that the pool knows, as the endpoint list has them, and the connections and
+//! The table of endpoints that the pool knows from the endpoint list, with the connections and
 //! waiters of each.
 
 use crate::message::ListedEndpoint;
@@ -11,26 +11,26 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What the pool holds for one endpoint.
+/// The state of one endpoint in the pool.
 pub(super) struct EndpointSlot {
-    /// Where it listens.
+    /// The address on which the endpoint listens.
     pub address: SocketAddr,
-    /// The epoch that it is in.
+    /// The current epoch.
     pub epoch: Epoch,
     /// Idle connections to it.
     pub idle: IdleConnections,
     /// Attempts that wait for a connection to it.
     pub waiters: WaiterQueue,
-    /// Dials in flight in this epoch: never fewer than waiters.
+    /// Dials in flight in this epoch; never fewer than waiters.
     pub dials_in_flight: usize,
-    /// Its state, as listed.
+    /// The endpoint's state, as listed.
     state: EndpointState,
-    /// When it was last started, as listed.
+    /// When the endpoint last started, as listed.
     started: Option<Duration>,
 }
 
 impl EndpointSlot {
-    /// Returns the slot of an endpoint that has just been listed.
+    /// Returns the state of an endpoint that was not listed before.
     fn new(listed: &ListedEndpoint, epoch: Epoch) -> Self {
         EndpointSlot {
             address: listed.address,
@@ -48,24 +48,25 @@
         self.state == EndpointState::Ready
     }
 
-    /// Takes over an entry of the list.
+    /// Applies an entry of the list.
     ///
-    /// Connections to an earlier run of the endpoint, or to one that takes no new requests, are of
-    /// no more use: `epoch` begins.
+    /// Begins `epoch` if the endpoint has moved or restarted, or accepts no new requests: the
+    /// connections of the old epoch are then of no use.
     fn update(&mut self, listed: &ListedEndpoint, epoch: Epoch) {
-        let replaced = self.address != listed.address || self.started != listed.entry.started;
+        let moved_or_restarted =
+            self.address != listed.address || self.started != listed.entry.started;
         self.address = listed.address;
         self.started = listed.entry.started;
         self.state = listed.entry.state;
-        if replaced || !self.is_ready() {
+        if moved_or_restarted || !self.is_ready() {
             self.begin_epoch(epoch);
         }
     }
 
-    /// Closes what belongs to the epoch before.
+    /// Closes the idle connections and fails the waiters of the previous epoch.
     ///
-    /// Waiting attempts are to be decided anew, since what was permitted before may not be
-    /// permitted any more.
+    /// The balancer has to decide again on the waiting attempts, because an attempt that was
+    /// permitted in the previous epoch may not be permitted in this one.
     fn begin_epoch(&mut self, epoch: Epoch) {
         self.epoch = epoch;
         self.dials_in_flight = 0;
@@ -74,19 +75,19 @@
     }
 }
 
-/// The listed endpoints by their numbers.
+/// The listed endpoints by their ids.
 #[derive(Default)]
 pub(super) struct EndpointTable {
     slots: BTreeMap<EndpointId, EndpointSlot>,
-    /// The last epoch that was given out to any endpoint.
+    /// The last epoch that was assigned to any endpoint.
     last_epoch: Epoch,
 }
 
 impl EndpointTable {
     /// Applies an update of the endpoint list.
     ///
-    /// Endpoints that are removed are forgotten: nothing more is sent to them, and the table would
-    /// grow with each replaced endpoint.
+    /// Removed endpoints are deleted from the table: nothing more is sent to them, and the table
+    /// would otherwise grow with each endpoint that is replaced.
     pub(super) fn apply(&mut self, kind: ListKind, listed: &[ListedEndpoint]) {
         if matches!(kind, ListKind::Snapshot | ListKind::Cached) {
             self.remove_unlisted(listed);
@@ -98,7 +99,7 @@
             .retain(|_, slot| slot.state != EndpointState::Removed);
     }
 
-    /// Removes the endpoints that a complete list lacks.
+    /// Removes the endpoints that are missing from a complete list.
     fn remove_unlisted(&mut self, listed: &[ListedEndpoint]) {
         let listed_ids: BTreeSet<_> = listed.iter().map(|endpoint| endpoint.entry.id).collect();
         self.slots.retain(|id, slot| {
@@ -122,12 +123,12 @@
         }
     }
 
-    /// Returns the endpoint, in whatever epoch it is.
+    /// Returns the endpoint, regardless of its epoch.
     pub(super) fn get_mut(&mut self, id: EndpointId) -> Option<&mut EndpointSlot> {
         self.slots.get_mut(&id)
     }
 
-    /// Returns a listed endpoint, in whatever state it is.
+    /// Returns the endpoint, regardless of its state.
     ///
     /// # Errors
     ///
@@ -139,12 +140,12 @@
         self.get_mut(id).ok_or(CheckoutError::EndpointUnavailable)
     }
 
-    /// Returns the endpoint, if it still is in that epoch.
+    /// Returns the endpoint if it is still in `epoch`.
     pub(super) fn in_epoch(&self, id: EndpointId, epoch: Epoch) -> Option<&EndpointSlot> {
         self.slots.get(&id).filter(|slot| slot.epoch == epoch)
     }
 
-    /// Returns the endpoint to be changed, if it still is in that epoch.
+    /// Returns the endpoint for modification if it is still in `epoch`.
     pub(super) fn in_epoch_mut(
         &mut self,
         id: EndpointId,
@@ -153,15 +154,14 @@
         self.slots.get_mut(&id).filter(|slot| slot.epoch == epoch)
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes the expired idle connections of all endpoints.
     pub(super) fn evict_expired(&mut self, now: Duration, idle_timeout: Duration) {
         for slot in self.slots.values_mut() {
             slot.idle.evict_expired(now, idle_timeout);
         }
     }
 
-    /// Closes the connection that has been idle for longest, of all endpoints; returns false if
-    /// none is idle.
+    /// Closes the longest idle connection of all endpoints; returns false if none is idle.
     pub(super) fn close_longest_idle(&mut self) -> bool {
         let candidates = self
             .slots
--- a/crates/node/src/upstream/pool/epoch.rs
+++ b/crates/node/src/upstream/pool/epoch.rs
@@ -1,8 +1,9 @@
-//! Epochs of endpoints, which tell connections to one run of an endpoint from those to the next.
+//! Epochs of endpoints, which distinguish the connections to one run of an endpoint from those to
+//! the next run.
 
-/// One run of an endpoint at one address while it takes new requests.
+/// A period in which an endpoint runs without a restart, at one address, and accepts new requests.
 ///
-/// No epoch is used twice, also when an endpoint is removed from the list and added again.
+/// No epoch is used twice, even if an endpoint is removed from the list and added again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Epoch(u64);
 
--- a/crates/node/src/upstream/pool/error/tests.rs
+++ b/crates/node/src/upstream/pool/error/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn only_a_failed_connect_counts_against_the_endpoint() {
+fn only_a_failed_connect_counts_as_failure_of_the_endpoint() {
     for error in [
         CheckoutError::EndpointUnavailable,
         CheckoutError::ConnectionLimit,
--- a/crates/node/src/upstream/pool/idle.rs
+++ b/crates/node/src/upstream/pool/idle.rs
@@ -3,35 +3,35 @@
 use crate::upstream::pool::connection::Connection;
 use std::time::Duration;
 
-/// A connection that is idle.
+/// An idle connection.
 struct IdleConnection {
     connection: Connection,
     /// When it became idle, on the node's clock.
-    since: Duration,
+    idle_since: Duration,
 }
 
 impl IdleConnection {
-    /// Returns whether the connection has been idle for too long at `now`.
+    /// Returns whether the connection has been idle for `idle_timeout` or longer.
     fn has_expired(&self, now: Duration, idle_timeout: Duration) -> bool {
-        now.saturating_sub(self.since) >= idle_timeout
+        now.saturating_sub(self.idle_since) >= idle_timeout
     }
 }
 
-/// Idle connections, the most recently used last.
+/// Idle connections, in the order in which they became idle.
 #[derive(Default)]
 pub(super) struct IdleConnections(Vec<IdleConnection>);
 
 impl IdleConnections {
-    /// Adds a connection that is idle from `now` on.
+    /// Adds a connection that becomes idle at `now`.
     pub(super) fn push(&mut self, connection: Connection, now: Duration) {
         self.0.push(IdleConnection {
             connection,
-            since: now,
+            idle_since: now,
         });
     }
 
-    /// Takes the most recently used connection that has cooled down and may carry a request. Closes
-    /// those that it finds unusable on the way.
+    /// Takes the most recently used connection that has cooled down, is usable and has not expired.
+    /// Closes the unusable and expired connections that it encounters before that one.
     pub(super) fn take_usable(
         &mut self,
         now: Duration,
@@ -49,20 +49,19 @@
         None
     }
 
-    /// Closes the connections that have been idle for too long, and forgets those that the endpoint
-    /// has closed.
+    /// Closes expired connections, and removes those that their endpoint has closed.
     pub(super) fn evict_expired(&mut self, now: Duration, idle_timeout: Duration) {
         self.0.retain(|idle| {
             !idle.connection.sender.is_closed() && !idle.has_expired(now, idle_timeout)
         });
     }
 
-    /// Returns since when the connection has been idle that is first in line to be closed.
+    /// Returns when the longest idle connection became idle; `None` if there is none.
     pub(super) fn longest_idle_since(&self) -> Option<Duration> {
-        self.0.first().map(|idle| idle.since)
+        self.0.first().map(|idle| idle.idle_since)
     }
 
-    /// Closes the connection that has been idle for longest; returns false if there is none.
+    /// Closes the longest idle connection; returns false if there is none.
     pub(super) fn close_longest_idle(&mut self) -> bool {
         if self.0.is_empty() {
             return false;
--- a/crates/node/src/upstream/pool/limit.rs
+++ b/crates/node/src/upstream/pool/limit.rs
@@ -1,16 +1,16 @@
-//! The limit on how many connections to endpoints are open at once.
+//! The limit on the number of open connections to endpoints.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The limit on open connections, counted from the start of their dials.
+/// The limit on open connections. A connection counts from the start of its dial.
 pub(super) struct ConnectionLimit {
     open: Rc<Cell<usize>>,
     max: usize,
 }
 
 impl ConnectionLimit {
-    /// Returns a limit of `max` connections.
+    /// Creates a limit of `max` connections.
     pub(super) fn new(max: usize) -> Self {
         ConnectionLimit {
             open: Rc::default(),
@@ -36,7 +36,7 @@
     }
 }
 
-/// The right to have one connection open. It is returned when dropped.
+/// A permit to have one connection open. Dropping it returns it to the limit.
 pub(super) struct ConnectionPermit {
     open: Rc<Cell<usize>>,
 }
--- a/crates/node/src/upstream/pool/tests.rs
+++ b/crates/node/src/upstream/pool/tests.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 use tokio::net::TcpSocket;
 
-/// How many connections to the endpoint are idle in the pool.
-fn idle(pool: &Pool) -> usize {
+/// Returns the number of idle connections to the endpoint in the pool.
+fn idle_count(pool: &Pool) -> usize {
     pool.endpoints
         .borrow()
         .slots()
@@ -22,56 +22,65 @@
 fn a_waiter_takes_a_released_connection_and_its_dial_is_kept() {
     with_pool(async |pool, _listener, _| {
         let first = pool.checkout(ENDPOINT).await.expect("a connection");
-        let freed = first.task.id();
+        let released_task = first.task.id();
         let mut second = std::pin::pin!(pool.checkout(ENDPOINT));
         tokio::select! {
             biased;
-            _ = &mut second => panic!("the dial cannot have succeeded yet"),
+            _ = &mut second => panic!("the dial succeeded before its task ran"),
             () = std::future::ready(()) => pool.release(first),
         }
-        let taken = second.await.expect("a connection");
-        assert_eq!(taken.task.id(), freed);
-        while idle(&pool) == 0 {
+        let second = second.await.expect("a connection");
+        assert_eq!(second.task.id(), released_task);
+        while idle_count(&pool) == 0 {
             tokio::task::yield_now().await;
         }
-        let late = pool.checkout(ENDPOINT).await.expect("a connection");
-        assert_ne!(late.task.id(), freed);
-        assert_eq!(pool.limit.open_count(), 2, "nothing further was dialled");
+        let third = pool.checkout(ENDPOINT).await.expect("a connection");
+        assert_ne!(third.task.id(), released_task);
+        assert_eq!(
+            pool.limit.open_count(),
+            2,
+            "no further connection is dialled"
+        );
     });
 }
 
-/// Neither the runtime nor hyper have had a turn since the bytes came: only the kernel knows of
-/// them.
+/// Neither the runtime nor hyper has run since the bytes arrived, so only the kernel knows of them.
+/// If the connection were reused, they would be read as the response to its next request.
 #[test]
 fn a_connection_with_unread_bytes_is_not_reused() {
     use std::io::Write;
     with_pool(async |pool, listener, _| {
         let first = pool.checkout(ENDPOINT).await.expect("a connection");
         let (stream, _) = listener.accept().await.expect("the dial");
-        let mut endpoint = stream.into_std().expect("its stream");
-        let used = first.task.id();
-        // Hyper has its first turn before, and would see nothing.
+        let mut endpoint = stream.into_std().expect("a standard stream");
+        let first_task = first.task.id();
+        // Lets hyper poll the stream once before any byte arrives.
         tokio::task::yield_now().await;
         pool.release(first);
-        assert_eq!(idle(&pool), 1);
+        assert_eq!(idle_count(&pool), 1);
         endpoint
             .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-            .expect("a node");
+            .expect("write to the node");
         let next = pool.checkout(ENDPOINT).await.expect("a connection");
-        assert_ne!(next.task.id(), used);
+        assert_ne!(next.task.id(), first_task);
     });
 }
 
-/// The second copy of a response may be on its way when the next request is sent.
+/// A duplicate of a response that arrives after the next request was sent would be read as the
+/// response to that request.
 #[test]
 fn a_connection_cools_down_after_a_response() {
-    for (cooldown, again) in [(Duration::from_secs(600), false), (Duration::ZERO, true)] {
+    for (cooldown, is_reused) in [(Duration::from_secs(600), false), (Duration::ZERO, true)] {
         with_cooldown(cooldown, async |pool, _listener, _| {
             let first = pool.checkout(ENDPOINT).await.expect("a connection");
-            let used = first.task.id();
+            let first_task = first.task.id();
             pool.release_after_response(first);
             let next = pool.checkout(ENDPOINT).await.expect("a connection");
-            assert_eq!(next.task.id() == used, again, "after {cooldown:?}");
+            assert_eq!(
+                next.task.id() == first_task,
+                is_reused,
+                "cool-down of {cooldown:?}"
+            );
         });
     }
 }
@@ -80,23 +89,23 @@
 fn a_waiter_gets_a_cooled_connection_if_no_dial_succeeds() {
     with_cooldown(Duration::from_millis(1), async |pool, listener, _| {
         let first = pool.checkout(ENDPOINT).await.expect("a connection");
-        let used = first.task.id();
+        let first_task = first.task.id();
         let _clients = fill_backlog(&listener).await;
         let mut second = std::pin::pin!(pool.checkout(ENDPOINT));
         tokio::select! {
             biased;
-            _ = &mut second => panic!("no dial succeeds"),
+            _ = &mut second => panic!("a dial succeeded despite the full backlog"),
             () = std::future::ready(()) => pool.release_after_response(first),
         }
         assert_eq!(
             second.await.ok().map(|connection| connection.task.id()),
-            Some(used)
+            Some(first_task)
         );
     });
 }
 
-/// What was decided for an endpoint that was ready and warm is not written to one that drains, or
-/// has just been started again, at its old address or elsewhere.
+/// An attempt was permitted for an endpoint that was ready and warmed up. If the endpoint drains or
+/// restarts while the attempt waits for a connection, its request must not be written.
 #[test]
 fn a_waiter_fails_at_once_if_its_endpoint_drains_or_restarts() {
     let drains = |endpoint: &mut ListedEndpoint| endpoint.entry.state = EndpointState::Draining;
@@ -108,18 +117,18 @@
     {
         with_pool(async |pool, listener, mut endpoint| {
             let _clients = fill_backlog(&listener).await;
-            let mut waiting = std::pin::pin!(pool.checkout(ENDPOINT));
+            let mut waiter = std::pin::pin!(pool.checkout(ENDPOINT));
             tokio::select! {
                 biased;
-                _ = &mut waiting => panic!("no dial succeeds"),
+                _ = &mut waiter => panic!("a dial succeeded despite the full backlog"),
                 () = std::future::ready(()) => {
                     change(&mut endpoint);
                     pool.update(ListKind::Delta, &[endpoint]);
                 }
             }
-            // Not that its dial has failed, which says nothing of the endpoint as it is now.
+            // Not `ConnectFailed`: that would count as a failure of the endpoint in its new state.
             assert_eq!(
-                waiting.await.err(),
+                waiter.await.err(),
                 Some(CheckoutError::EndpointUnavailable),
                 "case {case}"
             );
@@ -131,33 +140,33 @@
 fn a_connection_delivered_to_a_cancelled_waiter_is_released() {
     with_pool(async |pool, _listener, _| {
         let first = pool.checkout(ENDPOINT).await.expect("a connection");
-        let freed = first.task.id();
+        let released_task = first.task.id();
         let mut second = Box::pin(pool.checkout(ENDPOINT));
         tokio::select! {
             biased;
-            _ = &mut second => panic!("the dial cannot have succeeded yet"),
+            _ = &mut second => panic!("the dial succeeded before its task ran"),
             () = std::future::ready(()) => pool.release(first),
         }
-        assert_eq!(idle(&pool), 0);
+        assert_eq!(idle_count(&pool), 0);
         drop(second);
-        assert_eq!(idle(&pool), 1);
+        assert_eq!(idle_count(&pool), 1);
         assert_eq!(
             pool.checkout(ENDPOINT)
                 .await
                 .ok()
                 .map(|connection| connection.task.id()),
-            Some(freed)
+            Some(released_task)
         );
     });
 }
 
-/// A second endpoint's number.
+/// The id of an endpoint whose port refuses connections.
 const UNREACHABLE: EndpointId = EndpointId(2);
 
 #[test]
 fn a_failed_dial_returns_its_permit() {
     with_pool(async |pool, _listener, mut endpoint| {
-        // Its port is bound, so that nobody else gets it, and not listened on.
+        // The port is bound, so that no other process gets it, but nothing listens on it.
         let socket = TcpSocket::new_v4().expect("a socket");
         socket
             .bind(SocketAddr::from(([127, 0, 0, 1], 0)))
@@ -182,7 +191,7 @@
 }
 
 #[test]
-fn at_the_limit_only_an_idle_connection_makes_room() {
+fn at_the_connection_limit_only_an_idle_connection_is_closed_for_a_dial() {
     with_pool(async |pool, _listener, _| {
         let mut in_use = Vec::new();
         for _ in 0..MAX_CONNECTIONS {
@@ -214,12 +223,12 @@
             pool.checkout(ENDPOINT).await.err(),
             Some(CheckoutError::EndpointUnavailable)
         );
-        let nothing = PoolUsage {
+        let empty = PoolUsage {
             endpoints: 0,
             open_connections: 0,
             waiting_attempts: 0,
             dials_in_flight: 0,
         };
-        assert_eq!(pool.usage(), nothing);
+        assert_eq!(pool.usage(), empty);
     });
 }
--- a/crates/node/src/upstream/pool/tests/harness.rs
+++ b/crates/node/src/upstream/pool/tests/harness.rs
@@ -1,4 +1,4 @@
-//! A pool that knows one endpoint, which listens.
+//! A pool with one endpoint, and the listener of that endpoint.
 
 use super::super::{Pool, PoolOptions, RESPONSE_COOLDOWN};
 use crate::clock::Clock;
@@ -11,17 +11,18 @@
 use tokio::task::LocalSet;
 use tokio::time::timeout;
 
-/// The endpoint's number.
+/// The endpoint's id.
 pub(crate) const ENDPOINT: EndpointId = EndpointId(1);
 
-/// Runs a test with a pool that knows one endpoint, which listens.
+/// Runs a test with a pool that knows one endpoint, the listener of that endpoint, and its entry in
+/// the endpoint list.
 pub(crate) fn with_pool<T>(
     test: impl AsyncFnOnce(Rc<Pool>, TcpListener, ListedEndpoint) -> T,
 ) -> T {
     with_cooldown(RESPONSE_COOLDOWN, test)
 }
 
-/// Runs a test as [`with_pool`] does, with another cool-down after responses.
+/// Runs a test as [`with_pool`] does, with the given cool-down after responses.
 pub(crate) fn with_cooldown<T>(
     response_cooldown: Duration,
     test: impl AsyncFnOnce(Rc<Pool>, TcpListener, ListedEndpoint) -> T,
@@ -47,7 +48,7 @@
     })
 }
 
-/// The limit on open connections.
+/// The pool's limit on open connections.
 pub(crate) const MAX_CONNECTIONS: usize = 16;
 
 fn options(response_cooldown: Duration) -> PoolOptions {
@@ -59,9 +60,12 @@
     }
 }
 
-/// Fills the listener's backlog: no dial succeeds any more.
+/// Fills the listener's backlog, so that no further dial succeeds. Returns the connections that
+/// fill it.
 pub(crate) async fn fill_backlog(listener: &TcpListener) -> Vec<TcpStream> {
-    SockRef::from(listener).listen(0).expect("a shorter queue");
+    SockRef::from(listener)
+        .listen(0)
+        .expect("shorten the backlog");
     let address = listener.local_addr().expect("its address");
     let mut clients = Vec::new();
     while let Ok(Ok(client)) =
--- a/crates/node/src/upstream/pool/waiters.rs
+++ b/crates/node/src/upstream/pool/waiters.rs
@@ -1,28 +1,28 @@
-//! The attempts that wait for a connection to one endpoint.
+//! The queue of attempts that wait for a connection to one endpoint.
 
 use crate::upstream::pool::connection::{CheckoutResult, Connection};
 use crate::upstream::pool::error::CheckoutError;
 use std::collections::VecDeque;
 use tokio::sync::oneshot;
 
-/// Waiting attempts, the longest waiting first.
+/// The waiting attempts and health checks, the longest waiting first.
 #[derive(Default)]
 pub(super) struct WaiterQueue(VecDeque<oneshot::Sender<CheckoutResult>>);
 
 impl WaiterQueue {
-    /// Adds a waiter, and returns where its connection will arrive.
+    /// Adds a waiter, and returns the receiver of its connection.
     pub(super) fn enqueue(&mut self) -> oneshot::Receiver<CheckoutResult> {
         let (waiter, delivery) = oneshot::channel();
         self.0.push_back(waiter);
         delivery
     }
 
-    /// Removes the waiters that have given up.
+    /// Removes the waiters whose checkouts have been cancelled.
     pub(super) fn remove_cancelled(&mut self) {
         self.0.retain(|waiter| !waiter.is_closed());
     }
 
-    /// Gives a connection to the longest waiting; returns it if nobody waits.
+    /// Gives a connection to the longest waiting; returns it if none waits.
     pub(super) fn deliver(&mut self, mut connection: Connection) -> Option<Connection> {
         while let Some(waiter) = self.0.pop_front() {
             match waiter.send(Ok(connection)) {
@@ -33,27 +33,28 @@
         Some(connection)
     }
 
-    /// Fails the longest waiting until no more than `remaining` are left.
-    pub(super) fn fail_down_to(&mut self, remaining: usize, error: CheckoutError) {
-        while self.0.len() > remaining {
+    /// Fails the longest waiting until no more than `max_remaining` are left.
+    pub(super) fn fail_excess(&mut self, max_remaining: usize, error: CheckoutError) {
+        while self.0.len() > max_remaining {
             let Some(waiter) = self.0.pop_front() else {
                 break;
             };
-            let _ = waiter.send(Err(error)); // fails only if it has given up
+            let _ = waiter.send(Err(error)); // fails only if the checkout was cancelled
         }
     }
 
     /// Fails all waiters.
     pub(super) fn fail_all(&mut self, error: CheckoutError) {
-        self.fail_down_to(0, error);
+        self.fail_excess(0, error);
     }
 
-    /// Returns how many wait, those included that have given up since the last removal.
+    /// Returns the number of waiters, including those cancelled since the last
+    /// [`WaiterQueue::remove_cancelled`].
     pub(super) fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Returns whether nobody waits.
+    /// Returns whether there are no waiters.
     pub(super) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/node/src/upstream/request.rs
+++ b/crates/node/src/upstream/request.rs
@@ -1,4 +1,4 @@
-//! Requests as they are written to endpoints.
+//! The HTTP requests that are sent to endpoints.
 
 use crate::header_names::{BUDGET_MS, CALL_ID, IDEMPOTENCY_KEY};
 use crate::upstream::attempt::Attempt;
@@ -10,9 +10,11 @@
 use std::time::Duration;
 
 impl Attempt {
-    /// Prepares the request to be written at `now`, and records the first time that this is done.
-    /// Returns `None` if it may not be written any more: past its time, once endpoints have
-    /// forgotten its idempotency key, or once it has its final response.
+    /// Builds the request to write at `now`, and records `now` as the time of the first attempt if
+    /// there was none before.
+    ///
+    /// Returns `None` if the request may no longer be written: the attempt has expired, endpoints
+    /// may have forgotten the idempotency key, or the request already has its final response.
     pub(super) fn prepare_request(
         &self,
         now: Duration,
@@ -32,8 +34,8 @@
         Some(request)
     }
 
-    /// Returns whether endpoints may have forgotten an earlier attempt of a keyed request, and
-    /// would run it again.
+    /// Returns whether endpoints may have forgotten the idempotency key of an earlier attempt, so
+    /// that they would run the request a second time.
     fn is_key_forgotten(&self, now: Duration) -> bool {
         match (
             self.upstream_request.idempotency_window,
@@ -44,7 +46,7 @@
         }
     }
 
-    /// Adds the headers that endpoints are sent.
+    /// Inserts the request's headers.
     fn insert_headers(&self, headers: &mut HeaderMap, now: Duration, destination: SocketAddr) {
         let remaining_ms = (self.expires_at - now).as_millis().max(1) as u64;
         headers.insert(HOST, host(destination));
@@ -67,6 +69,6 @@
 
 /// Returns the value of the `Host` header.
 fn host(address: SocketAddr) -> HeaderValue {
-    // An address is always a valid value.
+    // An address is always a valid header value; the fallback is never used.
     HeaderValue::from_str(&address.to_string()).unwrap_or(HeaderValue::from_static("endpoint"))
 }
--- a/crates/node/src/upstream/response.rs
+++ b/crates/node/src/upstream/response.rs
@@ -1,4 +1,4 @@
-//! Reading an endpoint's response, and what it says about the attempt or health check that it ends.
+//! Reading an endpoint's response, and deriving from it the outcome of the attempt or health check.
 
 use crate::limits::MAX_BODY_BYTES;
 use crate::logging::log_peer;
@@ -14,14 +14,14 @@
 use std::error::Error;
 use std::io::{self, ErrorKind};
 
-/// Marks a response whose request was rejected before it ran.
+/// The header by which an endpoint marks that it rejected the request without running it.
 const REJECTED: HeaderName = HeaderName::from_static("x-rejected");
-/// The one value of [`REJECTED`] that counts.
+/// The value of [`REJECTED`] that marks a rejection; any other value has no effect.
 const REJECTED_TRUE: &str = "1";
 
 /// How an exchange with an endpoint ended.
 pub(super) struct ExchangeResult {
-    /// How the exchange ended.
+    /// The outcome of the attempt or health check.
     pub outcome: Outcome,
     /// The load report in the response's headers.
     pub load_report: Option<LoadReport>,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Returns the result of an exchange whose response was dropped unread.
+    /// Returns the result of an exchange whose response was dropped before its body was read.
     fn without_body(outcome: Outcome, load_report: Option<LoadReport>) -> Self {
         ExchangeResult {
             outcome,
@@ -49,16 +49,16 @@
     }
 }
 
-/// A response that was read.
+/// A response that was read or dropped.
 pub(super) struct ReceivedResponse {
-    /// What the exchange brought.
+    /// The result of the exchange.
     pub result: ExchangeResult,
-    /// The connection that it came on, unless that had to be closed.
+    /// The connection that carried it; `None` if the connection must be closed.
     pub connection: Option<Connection>,
 }
 
 impl ReceivedResponse {
-    /// Returns a response after which the connection is closed.
+    /// Returns a response whose connection is closed.
     fn closing_connection(result: ExchangeResult) -> Self {
         ReceivedResponse {
             result,
@@ -70,20 +70,20 @@
 /// Why a response is dropped before its body is read.
 #[derive(Debug, thiserror::Error)]
 enum ResponseDropped {
-    /// The body is longer than any that is forwarded.
-    #[error("response too long")]
+    /// The body is longer than [`MAX_BODY_BYTES`].
+    #[error("response body longer than {MAX_BODY_BYTES} bytes")]
     TooLong,
-    /// No memory is left for the body.
+    /// The memory budget has no room for the body.
     #[error("memory budget exhausted")]
     MemoryBudgetExhausted,
 }
 
 impl Upstream {
-    /// Reads a response to its end, so that one that breaks off is an outcome like others and the
-    /// client never gets half of it.
+    /// Reads a response to its end. A response that breaks off therefore is an ordinary failure of
+    /// the attempt, and the client never gets a part of it.
     ///
-    /// One without a length ends with its connection: whole if that is closed in order, and broken
-    /// off if it is reset.
+    /// A response without a length ends with its connection: it is complete if the endpoint closes
+    /// the connection in an orderly way, and broken off if the connection is reset.
     pub(super) async fn read_response(
         &self,
         connection: Connection,
@@ -137,12 +137,13 @@
     }
 }
 
-/// Returns whether a response says where its body ends; one that does not ends with its connection.
+/// Returns whether the response's headers tell where its body ends. Otherwise it ends when the
+/// connection closes.
 fn is_delimited(headers: &HeaderMap, body: &Incoming) -> bool {
     body.size_hint().exact().is_some() || headers.contains_key(TRANSFER_ENCODING)
 }
 
-/// Returns how an exchange ended that brought a whole response.
+/// Returns the outcome of an exchange whose response arrived completely.
 fn outcome_of_status(status: StatusCode, headers: &HeaderMap) -> Outcome {
     let rejected = headers
         .get(REJECTED)
@@ -152,22 +153,23 @@
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => {
             Outcome::Rejected
         }
-        // Nothing else promises that the request never ran.
+        // Without the header, the request may have run, whatever the status.
         _ => Outcome::Error,
     }
 }
 
-/// Returns how an exchange ended whose response's body broke off, or was too long.
+/// Returns the outcome of an exchange whose response body broke off or was too long.
 fn outcome_of_body_error(error: &(dyn Error + 'static)) -> Outcome {
     error
         .downcast_ref()
         .map_or(Outcome::Error, outcome_of_error)
 }
 
-/// Returns how an exchange ended whose response did not arrive completely.
+/// Returns the outcome of an exchange whose response did not arrive completely.
 ///
-/// Where the connection ended, the process may have died. Where the bytes made no sense, something
-/// responds there: that is a failure like another, and no reason to take the endpoint out of use.
+/// If the connection ended, the endpoint's process may have died: [`Outcome::Reset`]. If the bytes
+/// are not a valid response, the endpoint is alive: that is an ordinary failure,
+/// [`Outcome::Error`], and no reason to take the endpoint out of use.
 pub(super) fn outcome_of_error(error: &hyper::Error) -> Outcome {
     if error.is_parse() || is_invalid_data(error) {
         Outcome::Error
@@ -176,7 +178,7 @@
     }
 }
 
-/// Returns whether the I/O layer found that the bytes made no sense.
+/// Returns whether the cause of the error is an I/O error that reports invalid data.
 fn is_invalid_data(error: &hyper::Error) -> bool {
     let cause = error
         .source()
--- a/crates/node/src/upstream/response/tests.rs
+++ b/crates/node/src/upstream/response/tests.rs
@@ -2,9 +2,10 @@
 use hyper::header::HeaderValue;
 
 #[test]
-fn only_a_marked_rejection_promises_that_the_request_never_ran() {
+fn only_503_and_504_with_the_rejected_header_are_rejections() {
     let marked = HeaderMap::from_iter([(REJECTED, HeaderValue::from_static("1"))]);
-    let marked_otherwise = HeaderMap::from_iter([(REJECTED, HeaderValue::from_static("true"))]);
+    let marked_with_other_value =
+        HeaderMap::from_iter([(REJECTED, HeaderValue::from_static("true"))]);
     let unmarked = HeaderMap::new();
     for status in [StatusCode::SERVICE_UNAVAILABLE, StatusCode::GATEWAY_TIMEOUT] {
         assert_eq!(
@@ -13,7 +14,7 @@
             "{status}"
         );
         assert_eq!(
-            outcome_of_status(status, &marked_otherwise),
+            outcome_of_status(status, &marked_with_other_value),
             Outcome::Error,
             "{status}"
         );
