--- a/crates/balancer/src/health/active_check.rs
+++ b/crates/balancer/src/health/active_check.rs
@@ -45,8 +45,8 @@
     ///
     /// Without health checks, a request reaches a busy endpoint with probability `busy_share`. At a
     /// busy endpoint it is late with probability `work / time_left`, at most 1. Health checks avoid
-    /// this risk, or half of it if all checked endpoints are busy. `mean_work` is the mean work of a
-    /// request.
+    /// this risk, or half of it if all checked endpoints are busy. `mean_work` is the mean work of
+    /// a request.
     pub(crate) fn benefit_covers_cost(
         &self,
         request: &PendingRequest,
