--- a/crates/node/tests/node/bad_input.rs
+++ b/crates/node/tests/node/bad_input.rs
@@ -94,6 +94,29 @@
     );
 }
 
+/// The text is the whole body of the response, and names the header that is missing or unusable.
+#[test]
+fn request_without_usable_budget_is_told_the_header_by_name() {
+    let endpoint = ScriptedEndpoint::serving("");
+    let (node, _discovery) = start_node(&[&endpoint]);
+    let headers = common_headers(5000);
+    let without_budget: String = headers
+        .split_inclusive("\r\n")
+        .filter(|line| !line.starts_with("X-Budget-Ms"))
+        .collect();
+    let unusable_budget = format!("{without_budget}X-Budget-Ms: soon\r\n");
+    for headers in [without_budget, unusable_budget] {
+        let response = node.client().request("GET /read/1", &headers, b"");
+        assert_eq!(response.status(), 400, "{headers}");
+        assert_eq!(
+            String::from_utf8_lossy(&response.body),
+            "no X-Budget-Ms that makes sense",
+            "{headers}"
+        );
+    }
+    assert_eq!(endpoint.request_count(), 0);
+}
+
 /// If a request has both Content-Length and Transfer-Encoding, peers may disagree on its end, and
 /// its body may smuggle a second request. The node must serve nothing that follows on the
 /// connection.
