--- a/crates/node/tests/node/bad_input.rs
+++ b/crates/node/tests/node/bad_input.rs
@@ -94,7 +94,7 @@
     );
 }
 
-/// The text is the whole body of the response, and names the header that is missing or unusable.
+/// The response body is the error text alone, which names the header that is missing or unusable.
 #[test]
 fn request_without_usable_budget_is_told_the_header_by_name() {
     let endpoint = ScriptedEndpoint::serving("");
