--- a/crates/node/src/downstream.rs
+++ b/crates/node/src/downstream.rs
@@ -1,11 +1,12 @@
 //! The downstream side: accepts client connections, reads requests, and writes the final responses.
 //!
-//! A [`listener`] accepts connections, the [`connection_registry`] keeps them, and the
-//! [`http_server`] serves HTTP on each [`connection`]. [`timeouts`] and [`eviction`] close them,
-//! and the [`graceful_shutdown`] drains them.
+//! The [`listener`] accepts connections, the [`connection_registry`] tracks them, and the
+//! [`http_server`] serves HTTP on each [`connection`]. [`timeouts`] and [`eviction`] close
+//! connections, and the [`graceful_shutdown`] drains them.
 //!
-//! The [`request_handler`] takes each request through the [`request_parser`] and [`admission`],
-//! where it may end in a [`rejection`], and through the [`driver_handle`] to the driver.
+//! The [`request_handler`] passes each request through the [`request_parser`] and [`admission`],
+//! any of which may answer it with a [`rejection`], and then through the [`driver_handle`] to the
+//! driver.
 
 mod admission;
 mod connection;
@@ -58,14 +59,14 @@
 }
 
 impl Downstream {
-    /// Creates a downstream side that passes requests to the driver. `is_ready` says whether the
-    /// node has an endpoint list.
+    /// Creates a downstream side that passes requests to the driver. `has_endpoint_list` says
+    /// whether the node knows enough endpoints to be ready.
     pub(crate) fn new(
         clock: Clock,
         options: DownstreamOptions,
         budget: MemoryBudget,
         driver: mpsc::Sender<DriverMessage>,
-        is_ready: Rc<Cell<bool>>,
+        has_endpoint_list: Rc<Cell<bool>>,
     ) -> Self {
         let phase = Rc::new(Cell::new(ShutdownPhase::Serving));
         let registry = Rc::new(ConnectionRegistry::new(options.max_connections));
@@ -75,7 +76,7 @@
             driver: driver.clone(),
             drain_timeout: options.longest_deadline(),
         };
-        let readiness_check = ReadinessCheck::new(is_ready, phase.clone());
+        let readiness_check = ReadinessCheck::new(has_endpoint_list, phase.clone());
         let admission = Admission::new(clock, budget, phase.clone(), options.max_retry_after);
         let driver = DriverHandle::new(driver);
         let handler = RequestHandler::new(options, readiness_check, admission, driver);
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Serves clients until `shutdown` completes, then drains.
+    /// Serves clients until `shutdown` completes, then drains the connections.
     pub(crate) async fn run(self, listener: TcpListener, shutdown: impl Future<Output = ()>) {
         spawn_local(self.registry.clone().enforce_timeouts());
         let mut acceptor = Acceptor::new(listener, self.server.clone());
--- a/crates/node/src/downstream/admission.rs
+++ b/crates/node/src/downstream/admission.rs
@@ -1,4 +1,4 @@
-//! The admission of requests whose head has been checked: leases memory for the body, reads it, and
+//! Admits requests whose head has been checked: leases memory for the body, reads the body, and
 //! reserves the call id.
 
 use super::in_flight_call_ids::{CallIdReservation, InFlightCallIds};
@@ -20,17 +20,17 @@
 /// Admits requests.
 pub(super) struct Admission {
     clock: Clock,
-    /// The memory for the bodies of requests and responses.
+    /// The memory budget for the bodies of requests and responses.
     budget: MemoryBudget,
     phase: Rc<Cell<ShutdownPhase>>,
-    /// The Retry-After of shed requests; `None` for no such header.
+    /// The value of the Retry-After header of shed requests; `None` for no such header.
     retry_after: Option<Duration>,
     in_flight_call_ids: InFlightCallIds,
 }
 
 /// A request that has been read to its last byte.
 pub(super) struct ReceivedRequest {
-    /// The parsed head.
+    /// The checked head.
     pub head: ParsedRequest,
     /// The body, together with its lease of the memory budget.
     pub body: Bytes,
@@ -47,8 +47,8 @@
 }
 
 impl Admission {
-    /// Creates an admission that leases memory from the budget. Requests that it sheds get
-    /// `retry_after` as their Retry-After.
+    /// Creates an admission that leases memory from the budget. The responses to requests that it
+    /// sheds have `retry_after` in their Retry-After header.
     pub(super) fn new(
         clock: Clock,
         budget: MemoryBudget,
@@ -68,8 +68,9 @@
     ///
     /// # Errors
     ///
-    /// Rejects the request if there is no memory for its body, if the body does not arrive whole
-    /// and in time, if further requests are shed, or if its call id is in use.
+    /// Rejects the request if the memory budget has no room for its body, if the body does not
+    /// arrive completely and in time, if the shutdown has reached the phase that sheds requests, or
+    /// if the call id is in use.
     pub(super) async fn admit(
         &self,
         head: ParsedRequest,
@@ -99,7 +100,7 @@
         })
     }
 
-    /// Returns the rejection of a request that may be retried.
+    /// Returns the rejection of a request that its client may safely retry.
     fn shed(&self) -> Rejection {
         Rejection::Shed {
             retry_after: self.retry_after,
--- a/crates/node/src/downstream/connection.rs
+++ b/crates/node/src/downstream/connection.rs
@@ -9,16 +9,16 @@
 /// The state of a connection.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum ConnectionState {
-    /// No request is being served. A part of the next one's head may have been read.
+    /// No request is being served. Part of the next request's head may have been read.
     Idle {
-        /// When the connection was accepted or the last request got its response.
+        /// When the connection was accepted, or the response to its last request was ready.
         since: Instant,
     },
-    /// A request's head has been read, and its response is not yet known.
+    /// A request's head has been read, and its response is not yet ready.
     Serving,
-    /// No more requests are served; the client is to end the connection.
+    /// No more requests are served, and the client is expected to end the connection.
     Closing {
-        /// When the last request got its response or the connection was closed.
+        /// When the response to the last request was ready, or [`Connection::close`] was called.
         since: Instant,
     },
 }
@@ -26,8 +26,8 @@
 /// A client's connection.
 pub(super) struct Connection {
     socket: Handle,
-    accepted: Instant,
-    /// Whether the client has ever sent a request's head that could be read.
+    accepted_at: Instant,
+    /// Whether the complete head of a request has ever been read.
     has_sent_request: Cell<bool>,
     state: Cell<ConnectionState>,
     shutdown: Notify,
@@ -37,12 +37,12 @@
 impl Connection {
     /// Creates the state of a connection that has just been accepted.
     pub(super) fn new(socket: Handle) -> Self {
-        let accepted = Instant::now();
+        let accepted_at = Instant::now();
         Connection {
             socket,
-            accepted,
+            accepted_at,
             has_sent_request: Cell::new(false),
-            state: Cell::new(ConnectionState::Idle { since: accepted }),
+            state: Cell::new(ConnectionState::Idle { since: accepted_at }),
             shutdown: Notify::new(),
             abort: Notify::new(),
         }
@@ -56,7 +56,7 @@
         started.unwrap_or_else(Instant::now)
     }
 
-    /// Records that the request has its response, after which the connection is kept.
+    /// Records that the response to the request is ready, and that the connection is kept.
     pub(super) fn end_request(&self) {
         self.socket.reset_first_byte();
         self.state.set(ConnectionState::Idle {
@@ -64,40 +64,40 @@
         });
     }
 
-    /// Records that the request has its response, which is the last one on this connection.
+    /// Records that the response to the request is ready, and is the last on this connection.
     pub(super) fn end_last_request(&self) {
         self.socket.reset_first_byte();
         self.start_closing();
     }
 
-    /// Closes the connection between requests. It is aborted if its client does not end it in time.
+    /// Closes an idle connection gracefully. If its client does not end it in time, it is aborted.
     pub(super) fn close(&self) {
         self.start_closing();
         self.shut_down_gracefully();
     }
 
-    /// Asks the HTTP layer to end the connection as soon as it can.
+    /// Asks the HTTP layer to end the connection, after the request in progress if there is one.
     pub(super) fn shut_down_gracefully(&self) {
         self.shutdown.notify_one();
     }
 
-    /// Ends the connection at once.
+    /// Drops the connection at once.
     pub(super) fn abort(&self) {
         self.abort.notify_one();
     }
 
-    /// Waits until the connection is to be ended gracefully.
+    /// Waits until a graceful shutdown of the connection is requested.
     pub(super) async fn shutdown_requested(&self) {
         self.shutdown.notified().await;
     }
 
-    /// Waits until the connection is to be ended at once.
+    /// Waits until the connection is to be dropped at once.
     pub(super) async fn abort_requested(&self) {
         self.abort.notified().await;
     }
 
-    /// Completes once the client has disconnected while its request was being served. At other
-    /// times the HTTP layer notices the disconnect itself, and this never completes.
+    /// Completes when the client disconnects while its request is being served. In the other states
+    /// the HTTP layer detects the disconnect itself, and this never completes.
     pub(super) async fn client_disconnected(&self) {
         self.socket.peer_closed().await;
         if self.state() != ConnectionState::Serving {
@@ -110,23 +110,23 @@
         self.state.get()
     }
 
-    /// Returns whether the client has ever sent a request's head that could be read.
+    /// Returns whether the complete head of a request has ever been read.
     pub(super) fn has_sent_request(&self) -> bool {
         self.has_sent_request.get()
     }
 
-    /// Returns the time since the accept.
+    /// Returns the time since the connection was accepted.
     pub(super) fn age(&self) -> Duration {
-        self.accepted.elapsed()
+        self.accepted_at.elapsed()
     }
 
-    /// Returns when the request that is being read started: the first one with the accept, a later
-    /// one with its first byte.
+    /// Returns the start of the request that is being read, if there is one. The first request
+    /// starts when the connection is accepted, a later one with its first byte.
     pub(super) fn request_started(&self) -> Option<Instant> {
         if self.has_sent_request() {
             self.socket.first_byte_at()
         } else {
-            Some(self.accepted)
+            Some(self.accepted_at)
         }
     }
 
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Returns whether the kernel has no unread bytes for this connection. Takes a system call.
+    /// Returns whether the kernel has no unread bytes for this connection. Makes a system call.
     pub(super) fn has_nothing_to_read(&self) -> bool {
         self.socket.has_nothing_to_read()
     }
--- a/crates/node/src/downstream/connection_registry.rs
+++ b/crates/node/src/downstream/connection_registry.rs
@@ -1,4 +1,4 @@
-//! The registry of client connections, and their limit.
+//! The registry of client connections, which enforces their timeouts and knows their limit.
 
 use super::connection::Connection;
 use super::eviction::{self, EvictionReason};
@@ -19,7 +19,7 @@
 }
 
 impl ConnectionRegistry {
-    /// Creates an empty registry that is full with `max_connections`.
+    /// Creates an empty registry that counts as full at `max_connections`.
     pub(super) fn new(max_connections: usize) -> Self {
         ConnectionRegistry {
             connections: RefCell::default(),
@@ -40,13 +40,13 @@
         }
     }
 
-    /// Returns whether the limit is reached.
+    /// Returns whether the registry has reached its limit.
     pub(super) fn is_full(&self) -> bool {
         self.connections.borrow().len() >= self.max_connections
     }
 
-    /// Notifies the registry that a connection has become idle. It can be evicted if the registry
-    /// is full.
+    /// Notifies the registry that a connection has become idle, so that it can be evicted if the
+    /// registry is full.
     pub(super) fn notify_idle(&self) {
         if self.is_full() {
             self.changed.notify_one();
@@ -70,7 +70,8 @@
         eviction::evict_one(self.connections.borrow().values(), reason);
     }
 
-    /// Closes all idle connections. The others close with their next response.
+    /// Closes all idle connections without unread bytes. The others close after their next
+    /// response.
     pub(super) fn shut_down_idle(&self) {
         for connection in self.connections.borrow().values() {
             if connection.idle_since().is_some() && connection.has_nothing_to_read() {
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Enforces the timeouts of all connections, forever.
+    /// Enforces the timeouts of all connections. Never returns.
     pub(super) async fn enforce_timeouts(self: Rc<Self>) {
         loop {
             sleep(timeouts::CHECK_INTERVAL).await;
--- a/crates/node/src/downstream/disconnect_guard.rs
+++ b/crates/node/src/downstream/disconnect_guard.rs
@@ -1,4 +1,4 @@
-//! The detection of clients that disconnect while their requests are in flight.
+//! Detects clients that disconnect while their requests are in flight.
 
 use crate::message::DriverMessage;
 use ottertiller_balancer::RequestId;
@@ -9,12 +9,12 @@
 /// it.
 pub(super) struct DisconnectGuard {
     id: RequestId,
-    /// The slot in the driver's inbox for the report; `None` once disarmed.
+    /// The reserved slot in the driver's inbox for the report; `None` once disarmed.
     permit: Option<mpsc::OwnedPermit<DriverMessage>>,
 }
 
 impl DisconnectGuard {
-    /// Creates an armed guard for the request, with a slot in the driver's inbox for its report.
+    /// Creates an armed guard for the request, with a reserved slot in the driver's inbox.
     pub(super) fn new(id: RequestId, permit: mpsc::OwnedPermit<DriverMessage>) -> Self {
         DisconnectGuard {
             id,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Gives the slot back. A disconnect is no longer reported.
+    /// Releases the reserved slot. The disconnect is no longer reported.
     pub(super) fn disarm(&mut self) {
         self.permit = None;
     }
--- a/crates/node/src/downstream/driver_handle.rs
+++ b/crates/node/src/downstream/driver_handle.rs
@@ -1,4 +1,4 @@
-//! The submission of admitted requests to the driver.
+//! Submits admitted requests to the driver.
 
 use super::admission::{AdmittedRequest, ReceivedRequest};
 use super::disconnect_guard::DisconnectGuard;
@@ -31,7 +31,7 @@
         } = admitted;
         let id = self.next_request_id();
         let (response_sender, final_response) = oneshot::channel();
-        // Reserved now, since a drop cannot wait for a slot in the driver's inbox.
+        // Reserved now, since the guard's `drop` cannot wait for a slot in the driver's inbox.
         let Ok(permit) = self.inbox.clone().reserve_owned().await else {
             return FinalResponse::Failed;
         };
@@ -46,7 +46,7 @@
         final_response
     }
 
-    /// Returns an id that no request of this node has had.
+    /// Returns an id that no other request of this node has.
     fn next_request_id(&self) -> RequestId {
         let id = self.last_request_id.get() + 1;
         self.last_request_id.set(id);
@@ -54,7 +54,7 @@
     }
 }
 
-/// Converts a request to the driver's message.
+/// Converts a received request to the driver's form.
 fn incoming_request(
     id: RequestId,
     request: ReceivedRequest,
--- a/crates/node/src/downstream/eviction.rs
+++ b/crates/node/src/downstream/eviction.rs
@@ -1,47 +1,48 @@
-//! The eviction of idle connections: for which reason, in which order, and how.
+//! Evicts idle client connections to make room for new ones.
 
 use super::connection::Connection;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a connection counts as new. The first request of a client that sends it at once may
-/// take this long to arrive.
+/// How long a connection counts as new. If a client sends its first request right after connecting,
+/// the request may take this long to arrive.
 const FIRST_REQUEST_DELAY: Duration = Duration::from_millis(100);
-/// How long a connection that is closing already is waited for before it is aborted.
+/// How long a closing connection may take to end before it is aborted to make room.
 const CLOSING_GRACE: Duration = Duration::from_millis(10);
 
-/// Why an idle connection is evicted. The reason decides the order.
+/// Why an idle connection is evicted. The order of eviction depends on it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum EvictionReason {
-    /// A client has connected while the registry is full. Silent clients go first, however new they
-    /// are: a crowd of them does not displace the clients that are served.
+    /// A client has connected while the registry is full. Silent clients are evicted first, even
+    /// new ones, so that many of them cannot displace clients that are served.
     RegistryFull,
-    /// The process has no file descriptor left. Clients that have just been accepted go last.
+    /// The process has no file descriptor left. New clients are evicted last.
     OutOfDescriptors,
 }
 
-/// The position of an idle connection in the order of eviction. The least rank is evicted first.
+/// The position of an idle connection in the order of eviction. The lowest rank is evicted first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionRank {
     client: IdleClient,
     idle_since: Instant,
 }
 
-/// What is known of an idle client, in ascending order of what its eviction costs.
+/// What is known of an idle client. Variants whose eviction costs less come first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum IdleClient {
     /// Has sent nothing since it was accepted.
     Silent,
-    /// Has been served before. If a request crosses the end of its connection, the client sends it
-    /// again on a new one.
+    /// Has been served before. If the client sends a request while its connection is being closed,
+    /// it resends the request on a new connection.
     Served,
-    /// Has just been accepted. Its first request may be on its way, and would be lost.
+    /// Has just been accepted. Its first request may be on its way and would be lost.
     New,
 }
 
-/// Makes room for a new connection by closing an idle one. If a connection is closing already,
-/// closes no other, and aborts that one if it has been closing for longer than [`CLOSING_GRACE`].
+/// Makes room for a new connection by closing an idle one. If connections are closing already,
+/// closes no further one, but aborts the one that has been closing for the longest if that is
+/// longer than [`CLOSING_GRACE`].
 pub(super) fn evict_one<'a>(
     connections: impl Iterator<Item = &'a Rc<Connection>> + Clone,
     reason: EvictionReason,
@@ -53,8 +54,7 @@
     }
 }
 
-/// Returns the connection that has been closing for the longest, with the time at which it started
-/// to.
+/// Returns the connection that has been closing for the longest, and since when.
 fn longest_closing<'a>(
     connections: impl Iterator<Item = &'a Rc<Connection>>,
 ) -> Option<(&'a Rc<Connection>, Instant)> {
@@ -72,7 +72,7 @@
         .filter_map(|connection| Some((rank(connection, reason)?, connection)))
         .collect();
     idle.sort_unstable_by_key(|(rank, _)| *rank);
-    // Each check is a system call, so it is made in this order and only until one succeeds.
+    // Each check makes a system call, so connections are checked only until one can be closed.
     let first = idle
         .iter()
         .find(|(_, connection)| connection.has_nothing_to_read());
--- a/crates/node/src/downstream/graceful_shutdown.rs
+++ b/crates/node/src/downstream/graceful_shutdown.rs
@@ -1,9 +1,8 @@
-//! The graceful shutdown of the downstream side: the drain, which goes through the phases of the
-//! shutdown.
+//! The graceful shutdown of the downstream side, which drains it in phases.
 //!
 //! ```text
 //! Serving --shutdown signal--> Draining --0.55 s--> Shedding --no connection left--> end
-//!                                                           --time limit----------> end
+//!                                                           --drain timeout-------> end
 //! ```
 
 use super::connection_registry::ConnectionRegistry;
@@ -18,20 +17,20 @@
 use tokio::time::{sleep, timeout};
 
 /// How long new connections are accepted after the shutdown signal. Clients may still open
-/// connections for up to 0.4 s after it; the rest is a margin.
+/// connections for up to 0.4 s after it; the remaining 50 ms are a margin.
 const DRAIN_ACCEPT_PERIOD: Duration = Duration::from_millis(450);
-/// How long the connections that were accepted last have to send their requests. After it, idle
+/// How long the clients that were accepted last have to send their requests. After that, idle
 /// connections are closed and further requests are shed.
 const LAST_REQUEST_GRACE: Duration = Duration::from_millis(100);
 /// How long clients have to end their connections once every request has been given its final
 /// response.
 const FINAL_CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Shuts the downstream side down without losing a request that it has accepted.
+/// Shuts the downstream side down without losing an accepted request.
 pub(super) struct GracefulShutdown {
-    /// The phase, which the other parts read.
+    /// The current phase, which the other parts of the downstream side read.
     pub phase: Rc<Cell<ShutdownPhase>>,
-    /// The connections that are drained.
+    /// The client connections.
     pub registry: Rc<ConnectionRegistry>,
     /// The driver, which is told to end the requests that are still in flight after the drain
     /// timeout.
@@ -56,8 +55,8 @@
         }
     }
 
-    /// Makes the driver give every admitted request its final response now, however long its client
-    /// would still wait. No other connection can have sent a whole request.
+    /// Makes the driver send the final response to every admitted request now, even if its client
+    /// would wait longer. No other open connection can have sent a complete one.
     async fn end_overdue_requests(&self) {
         // Fails only when the driver has ended.
         let _ = self.driver.send(DriverMessage::Shutdown).await;
@@ -66,7 +65,7 @@
         }
     }
 
-    /// Waits until all connections have ended. Returns false if they have not after `limit`.
+    /// Waits until all connections have ended. Returns false if they have not within `limit`.
     async fn connections_end_within(&self, limit: Duration) -> bool {
         timeout(limit, self.registry.wait_until_empty())
             .await
--- a/crates/node/src/downstream/http_server.rs
+++ b/crates/node/src/downstream/http_server.rs
@@ -29,7 +29,7 @@
 }
 
 impl HttpServer {
-    /// Creates a server whose connections are kept in the registry.
+    /// Creates a server that registers its connections in `registry`.
     pub(super) fn new(
         handler: RequestHandler,
         registry: Rc<ConnectionRegistry>,
@@ -61,7 +61,7 @@
 
     /// Serves a connection until it ends, is aborted, or its client disconnects.
     async fn serve_until_ended(&self, socket: Socket, connection: &Connection) {
-        // Biased: what the client has sent comes before its disconnect.
+        // Biased, so that data from the client is handled before its disconnect.
         tokio::select! {
             biased;
             () = self.serve_http(socket, connection) => {}
@@ -74,12 +74,12 @@
     async fn serve_http(&self, socket: Socket, connection: &Connection) {
         let service = service_fn(|request| self.respond(connection, request));
         let http = http1::Builder::new()
-            // Hyper's timeout would run on idle connections too; `timeouts` tells them apart.
+            // Hyper's timeout would apply to idle connections too; `timeouts` distinguishes them.
             .header_read_timeout(None)
             .max_buf_size(READ_BUFFER_BYTES)
             .serve_connection(socket, service);
         let mut http = pin!(http);
-        // Biased: a request that has come is read before the connection is shut down.
+        // Biased, so that a request that has arrived is read before the connection is shut down.
         tokio::select! {
             biased;
             _ = http.as_mut() => return,
@@ -96,7 +96,7 @@
         connection: &Connection,
         request: Request<Incoming>,
     ) -> Result<FullResponse, Infallible> {
-        // The rest of the request, its body, must have been read by then.
+        // The rest of the request, which is its body, has to be read by this deadline.
         let read_deadline = connection.begin_request() + READ_TIMEOUT;
         let result = self.handler.handle(request, read_deadline).await;
         let keeps_connection = result
--- a/crates/node/src/downstream/in_flight_call_ids.rs
+++ b/crates/node/src/downstream/in_flight_call_ids.rs
@@ -1,5 +1,5 @@
-//! The X-Call-Ids of the requests in flight. Endpoints could not distinguish the attempts of two
-//! concurrent requests with the same id.
+//! The call ids (X-Call-Id) of the requests in flight. They are unique, since endpoints could not
+//! distinguish the attempts of two concurrent requests with the same id.
 
 use hyper::header::HeaderValue;
 use std::cell::RefCell;
--- a/crates/node/src/downstream/listener.rs
+++ b/crates/node/src/downstream/listener.rs
@@ -13,19 +13,19 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, timeout};
 
-/// How long to wait after a failed accept, and before evicting another connection.
+/// How long to wait after a failed accept, and before another connection is evicted.
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
-/// How many connections are accepted at most before the listener is closed: as many as the kernel's
-/// queue holds. Without a limit, clients that connect again at once would keep the queue filled,
-/// and the shutdown waiting, for good.
+/// The greatest number of connections that are accepted from the kernel's queue before the listener
+/// is closed: as many as the queue holds. Without a limit, clients that reconnect at once could
+/// keep the queue filled, and the shutdown would never end.
 const MAX_QUEUED_CONNECTIONS: usize = 1024;
-/// How often in a row accepting the last connections may fail. Closing the listener resets the
-/// connections that are left in the queue, so that single failures are passed over.
-const MAX_LAST_FAILURES: u32 = 16;
+/// How many accepts from the queue may fail in a row before the listener is closed. Single failures
+/// do not close it, since that resets the connections left in the queue.
+const MAX_CONSECUTIVE_FAILURES: u32 = 16;
 
 /// A source of new connections.
 pub(super) trait Listener {
-    /// Accepts one connection. May be cancelled, and loses no connection then.
+    /// Accepts one connection. Cancelling it loses no connection.
     ///
     /// # Errors
     ///
@@ -44,8 +44,8 @@
 pub(super) struct Acceptor<L> {
     listener: L,
     server: Rc<HttpServer>,
-    /// An accepted connection that waits until the registry is not full. It survives the
-    /// cancellation of [`Self::run`], since its client may have sent a request already.
+    /// An accepted connection that waits until the registry is not full. It is kept here to survive
+    /// the cancellation of [`Self::run`], since its client may have sent a request already.
     pending: Option<TcpStream>,
 }
 
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Accepts connections forever. May be cancelled and run again.
+    /// Accepts and serves connections. Never returns, but may be cancelled and called again.
     pub(super) async fn run(&mut self) {
         loop {
             if self.pending.is_none() {
@@ -74,7 +74,7 @@
 
     /// Serves the connections that are pending or in the kernel's accept queue, even if the
     /// registry is full, and closes the listener. Clients may have sent requests on queued
-    /// connections, which closing would reset.
+    /// connections, which the close would reset.
     pub(super) async fn finish(mut self) {
         self.serve_pending();
         let mut failures = 0;
@@ -84,7 +84,7 @@
                     self.server.serve(stream);
                     failures = 0;
                 }
-                Ok(Err(error)) if failures < MAX_LAST_FAILURES => {
+                Ok(Err(error)) if failures < MAX_CONSECUTIVE_FAILURES => {
                     self.recover(error).await;
                     failures += 1;
                 }
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Accepts one connection, which is pending then, or recovers from a failure.
+    /// Accepts one connection and makes it the pending one, or recovers from a failure.
     async fn accept(&mut self) {
         match self.listener.accept().await {
             Ok(stream) => self.pending = Some(stream),
@@ -101,11 +101,11 @@
         }
     }
 
-    /// Takes the measure that helps against an accept error, and waits before the next accept.
+    /// Logs an accept error, evicts a connection if that helps, and waits before the next accept.
     async fn recover(&self, error: io::Error) {
-        log_rate_limited(format_args!("cannot accept: {error}"));
+        log_rate_limited(format_args!("cannot accept a connection: {error}"));
         match AcceptErrorKind::from(&error) {
-            // The next accepts may fail as well, so the other tasks get a turn.
+            // The next accepts may fail too, so this yields to the other tasks.
             AcceptErrorKind::OneConnection => return yield_now().await,
             AcceptErrorKind::OutOfDescriptors => {
                 let registry = self.server.registry();
--- a/crates/node/src/downstream/listener/accept_error.rs
+++ b/crates/node/src/downstream/listener/accept_error.rs
@@ -1,10 +1,10 @@
-//! The classification of the errors with which accepting a connection fails.
+//! Classifies the errors of accept(2).
 
 use rustix::io::Errno;
 use std::io;
 
-/// What a failed accept means for the connections that are open. Linux documents the errors in
-/// accept(2).
+/// The kind of an accept error, which determines how the acceptor recovers. The errors are
+/// documented in the Linux manual page accept(2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AcceptErrorKind {
     /// This process has no file descriptor left. Closing a connection helps.
@@ -17,8 +17,8 @@
 }
 
 impl From<&io::Error> for AcceptErrorKind {
-    /// Classifies an error of accept(2). An error that is not documented counts as a lack of
-    /// resources, which closes no connection.
+    /// Classifies an error. An undocumented one counts as [`AcceptErrorKind::SystemResources`], for
+    /// which no connection is closed.
     fn from(error: &io::Error) -> Self {
         match Errno::from_io_error(error) {
             Some(Errno::MFILE) => AcceptErrorKind::OutOfDescriptors,
@@ -35,7 +35,7 @@
                 | Errno::NETUNREACH
                 | Errno::TIMEDOUT,
             ) => AcceptErrorKind::OneConnection,
-            // ENFILE, ENOBUFS, ENOMEM, and what is not documented.
+            // ENFILE, ENOBUFS, ENOMEM and undocumented errors.
             _ => AcceptErrorKind::SystemResources,
         }
     }
--- a/crates/node/src/downstream/listener/tests.rs
+++ b/crates/node/src/downstream/listener/tests.rs
@@ -1,5 +1,5 @@
-//! Accepts that fail in the ways that Linux documents. The listener is scripted: a test cannot make
-//! the system run out of a resource without doing so to everything else on the machine.
+//! Tests of the accept errors that Linux documents. A fake listener returns them, since a test
+//! cannot exhaust a system resource without affecting all other processes on the machine.
 
 use super::{Acceptor, HttpServer, Listener};
 use crate::clock::Clock;
@@ -20,28 +20,28 @@
 
 const MAX_CONNECTIONS: usize = 64;
 const BUDGET_BYTES: usize = 1 << 20;
-/// How long the kernel may take to hand on what was written, in real time.
+/// How long the kernel may take to deliver written data or a new connection, in real time.
 const KERNEL_DELAY: Duration = Duration::from_millis(1);
 /// How long the node may take to serve a new connection, in virtual time.
 const ACCEPT_DELAY: Duration = Duration::from_millis(30);
 
-/// The accept errors of a [`FailingListener`], shared with its test.
+/// The accept errors that a [`FailingListener`] returns. Shared with the test.
 #[derive(Clone, Default)]
 struct AcceptErrors {
-    /// How often the listener fails for each connection that it accepts from now on.
+    /// The number of errors before each connection that the listener accepts from now on.
     per_connection: Rc<Cell<u32>>,
-    /// How often it has failed.
+    /// The number of errors returned so far.
     count: Rc<Cell<u32>>,
 }
 
-/// A listener that fails before each connection that it accepts.
+/// A listener that returns errors before each connection that it accepts.
 struct FailingListener {
     listener: TcpListener,
     errno: Errno,
     errors: AcceptErrors,
-    /// How often it still fails before it returns the waiting connection.
+    /// The number of errors to return before the waiting connection.
     errors_left: u32,
-    /// The connection that the errors hold up.
+    /// The connection that is returned after the errors.
     waiting: Option<TcpStream>,
 }
 
@@ -78,7 +78,7 @@
 enum RequestEnd {
     /// It got a response with status 200.
     Served,
-    /// The connection ended without that, or carried something else.
+    /// The connection ended before that, or the response was another one.
     NotServed,
 }
 
@@ -89,7 +89,8 @@
     /// Connects, and waits until the node has accepted the connection.
     async fn connect(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).await.expect("the node listens");
-        // Virtual time does not advance before the kernel has handed the connection on.
+        // Virtual time does not advance while the thread waits for the kernel to deliver the
+        // connection.
         std::thread::sleep(KERNEL_DELAY);
         sleep(ACCEPT_DELAY).await;
         Client(stream)
@@ -133,7 +134,7 @@
     }
 }
 
-/// Builds the server as the node does, with an endpoint list and no driver.
+/// Builds the server as the node does, but without a driver. Readiness checks get status 200.
 fn server() -> Rc<HttpServer> {
     let options = DownstreamOptions {
         max_connections: MAX_CONNECTIONS,
@@ -142,9 +143,9 @@
         max_retry_after: None,
     };
     let (driver, _) = mpsc::channel(1);
-    let is_ready = Rc::new(Cell::new(true));
+    let has_endpoint_list = Rc::new(Cell::new(true));
     let budget = MemoryBudget::new(BUDGET_BYTES);
-    Downstream::new(Clock::start(), options, budget, driver, is_ready).server
+    Downstream::new(Clock::start(), options, budget, driver, has_endpoint_list).server
 }
 
 async fn bind() -> (TcpListener, SocketAddr) {
@@ -161,8 +162,7 @@
     LocalSet::new().block_on(&runtime.expect("a runtime"), test);
 }
 
-/// Runs a test's clients against an acceptor whose listener fails with `errno`, as often as the
-/// test sets.
+/// Runs a test against an acceptor whose listener fails with `errno`. The test sets how often.
 fn with_accept_errors(errno: Errno, test: impl AsyncFnOnce(SocketAddr, AcceptErrors)) {
     in_virtual_time(async {
         let (listener, address) = bind().await;
@@ -192,13 +192,17 @@
             for client in &mut clients {
                 assert_eq!(client.request().await, RequestEnd::Served, "{errno:?}");
             }
-            assert_eq!(errors.count.get(), CLIENTS * 3, "{errno:?} is reached");
+            assert_eq!(
+                errors.count.get(),
+                CLIENTS * 3,
+                "{errno:?}: injected errors"
+            );
         });
     }
 }
 
-/// The request of a client that has just connected may be lost with its connection; one that was
-/// served sends its next request again on a new connection.
+/// If a new connection is closed, its client's first request may be lost. A client that was served
+/// before resends its request on a new connection.
 #[test]
 fn emfile_evicts_new_connections_last() {
     with_accept_errors(Errno::MFILE, async |address, errors| {
@@ -226,7 +230,8 @@
     });
 }
 
-/// At the shutdown the connections in the queue are accepted once more, and the listener closes.
+/// At shutdown the connections in the kernel's accept queue are accepted before the listener is
+/// closed.
 #[test]
 fn accept_errors_at_shutdown_lose_no_queued_connection() {
     const CLIENTS: u32 = 5;
--- a/crates/node/src/downstream/options.rs
+++ b/crates/node/src/downstream/options.rs
@@ -1,4 +1,4 @@
-//! The options of the downstream side, which the startup takes from the configuration.
+//! The options of the downstream side, which the `startup` module derives from the configuration.
 
 use ottertiller_balancer::Idempotency;
 use std::time::Duration;
@@ -8,11 +8,12 @@
 pub(crate) struct DownstreamOptions {
     /// The greatest number of client connections.
     pub max_connections: usize,
-    /// The classes of requests, in the order of their numbers.
+    /// The classes of requests. A class is identified by its position.
     pub classes: Vec<ClassOptions>,
-    /// The names of the tenants, in the order of their numbers; empty if requests name none.
+    /// The names of the tenants; empty if requests name none. A tenant is identified by its
+    /// position.
     pub tenants: Vec<String>,
-    /// The Retry-After of requests that are shed without asking the balancer; `None` for no such
+    /// The Retry-After of requests that are shed before they reach the balancer; `None` for no such
     /// header.
     pub max_retry_after: Option<Duration>,
 }
@@ -31,9 +32,9 @@
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub(crate) struct ClassOptions {
-    /// The first segment of its paths.
+    /// The name, which is the first segment of the paths of its requests.
     pub name: String,
-    /// Whether a request may be repeated. This decides its method and headers.
+    /// Whether its requests may be repeated. This determines their method and headers.
     pub idempotency: Idempotency,
     /// How long a client waits for its response.
     pub deadline: Duration,
--- a/crates/node/src/downstream/rejection.rs
+++ b/crates/node/src/downstream/rejection.rs
@@ -1,4 +1,4 @@
-//! Rejections: why a request is not passed to the driver, and what its client gets.
+//! Rejections of requests that are not passed to the driver, and the responses to them.
 
 use super::request_error::RequestError;
 use super::response::{self, FullResponse};
--- a/crates/node/src/downstream/request_body.rs
+++ b/crates/node/src/downstream/request_body.rs
@@ -10,10 +10,10 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout_at};
 
-/// How many bytes of a rejected request's body are read and discarded at most.
+/// The greatest number of bytes of a rejected request's body that are read and discarded.
 const MAX_DISCARDED_BYTES: usize = 16 * MAX_BODY_BYTES;
-/// How long the body of a rejected request is read and discarded: half the time after which a
-/// closing connection is aborted (`timeouts::LINGER_TIMEOUT`).
+/// How long the body of a rejected request is read and discarded: half of
+/// `timeouts::LINGER_TIMEOUT`, after which a closing connection is aborted.
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Reads a body of `length` bytes, for which memory has been leased, until the deadline.
--- a/crates/node/src/downstream/request_handler.rs
+++ b/crates/node/src/downstream/request_handler.rs
@@ -1,4 +1,4 @@
-//! Handles one request: checks its head, admits it, and waits for its final response.
+//! Handles requests: checks the head, admits the request, and waits for its final response.
 
 use super::admission::Admission;
 use super::driver_handle::DriverHandle;
@@ -22,11 +22,11 @@
     driver: DriverHandle,
 }
 
-/// What a request's head asks for.
+/// Where a request is routed, by its head.
 enum Route {
-    /// The node's own readiness.
+    /// To the node's readiness check.
     ReadinessCheck,
-    /// A response of an endpoint.
+    /// To the driver, which forwards it to an endpoint.
     Forward(Box<ParsedRequest>),
 }
 
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Checks the head of a request. Reads nothing of its body.
+    /// Checks the head of a request, and returns its route. Reads nothing of the body.
     fn route(&self, head: Parts, body: &Incoming) -> Result<Route, RequestError> {
         let body_length = request_parser::body_length(&head, body)?;
         if head.uri.path() == readiness_check::PATH {
@@ -78,7 +78,7 @@
         Ok(Route::Forward(Box::new(request)))
     }
 
-    /// Admits a request, and returns the response that its attempts end with.
+    /// Admits a request, passes it to the driver, and returns its final response.
     async fn forward(
         &self,
         request: ParsedRequest,
--- a/crates/node/src/downstream/request_headers.rs
+++ b/crates/node/src/downstream/request_headers.rs
@@ -1,4 +1,4 @@
-//! The headers of requests that this node reads: their names, limits and values.
+//! Reads the headers of clients' requests, and checks them against the protocol's limits.
 
 use super::request_error::RequestError;
 use crate::header_names::{BUDGET_MS, CALL_ID, IDEMPOTENCY_KEY};
@@ -9,18 +9,18 @@
 const CALLER: HeaderName = HeaderName::from_static("x-caller");
 /// The expected work, in microseconds.
 const CALL_COST: HeaderName = HeaderName::from_static("x-call-cost");
-/// Whether the client repeats an earlier request: 1 if so.
+/// Whether the client is retrying an earlier request: 1 if so.
 const CLIENT_RETRY: HeaderName = HeaderName::from_static("x-again");
 
-/// The headers that must not be repeated. An endpoint might read another of their values than this
-/// node does.
+/// The headers that must not be repeated. If one was, an endpoint might use another of its values
+/// than this node does.
 const UNIQUE_HEADERS: [HeaderName; 4] = [CALL_ID, BUDGET_MS, IDEMPOTENCY_KEY, CALLER];
-/// The longest budget, in milliseconds. A request with a longer one is rejected.
+/// The longest time budget, in milliseconds. A request with a longer one is rejected.
 const MAX_BUDGET_MS: u64 = 600_000;
 /// The longest call id, in bytes. A request with a longer one is rejected.
 const MAX_CALL_ID_BYTES: usize = 256;
 
-/// Checks that no header is repeated that must be unique.
+/// Checks that none of [`UNIQUE_HEADERS`] is repeated.
 ///
 /// # Errors
 ///
@@ -50,11 +50,11 @@
     headers.get(IDEMPOTENCY_KEY).cloned()
 }
 
-/// Returns how long the client waits.
+/// Returns the time budget, which is how long the client waits.
 ///
 /// # Errors
 ///
-/// Returns [`RequestError::InvalidBudget`] if there is no number of milliseconds from 1 to
+/// Returns [`RequestError::InvalidBudget`] unless the header is a number of milliseconds from 1 to
 /// [`MAX_BUDGET_MS`].
 pub(super) fn time_budget(headers: &HeaderMap) -> Result<Duration, RequestError> {
     let milliseconds = text(headers, &BUDGET_MS).and_then(|text| text.parse::<u64>().ok());
@@ -75,12 +75,12 @@
     Some(Duration::from_micros(microseconds))
 }
 
-/// Returns whether the client says that it repeats an earlier request.
+/// Returns whether the client marks the request as a retry of an earlier one.
 pub(super) fn is_client_retry(headers: &HeaderMap) -> bool {
     headers.get(CLIENT_RETRY).is_some_and(|value| value == "1")
 }
 
-/// Returns the value of a header as text, if there is one in visible ASCII.
+/// Returns the value of a header as text, if the header is present and in visible ASCII.
 fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
--- a/crates/node/src/downstream/request_parser.rs
+++ b/crates/node/src/downstream/request_parser.rs
@@ -27,7 +27,7 @@
     pub class: usize,
     /// The position of the tenant among the configured ones; 0 if none is configured.
     pub tenant: usize,
-    /// The number of the key in the path; 0 for none.
+    /// The number that identifies the key at the end of the path; 0 for none.
     pub key: u64,
     /// How long the client waits, counted from when the request was received.
     pub time_budget: Duration,
@@ -35,18 +35,18 @@
     pub idempotency_window: Option<Duration>,
     /// The expected work, if the client states it.
     pub cost: Option<Duration>,
-    /// Whether the client says that it repeats an earlier request.
+    /// Whether the client marks the request as a retry of an earlier one.
     pub is_client_retry: bool,
     /// The length of the body, in bytes.
     pub body_length: usize,
 }
 
-/// Returns the length of the body, as the head states it. The body itself is not waited for, so
-/// that a client that sends it only once its head is accepted is not kept waiting.
+/// Returns the length of the body, as the head states it. Does not wait for the body, since a
+/// client may send it only after the head has been accepted.
 ///
 /// # Errors
 ///
-/// Rejects a body without a stated length or with one above the protocol's limit.
+/// Rejects a body of unknown length, or one above the protocol's limit.
 pub(super) fn body_length(head: &Parts, body: &Incoming) -> Result<usize, RequestError> {
     if head.headers.contains_key(TRANSFER_ENCODING) {
         return Err(RequestError::TransferEncoding);
@@ -61,7 +61,7 @@
     }
 }
 
-/// Parses a head whose body has this length.
+/// Parses and checks the head of a request whose body has this length.
 ///
 /// # Errors
 ///
@@ -104,15 +104,15 @@
     })
 }
 
-/// What a path `/class/.../key` states.
+/// The class and key in a path `/class/.../key`.
 struct ClassAndKey {
     /// The position of the class among the configured ones.
     class: usize,
-    /// The number of the key; 0 for none.
+    /// The number that identifies the key; 0 for none.
     key: u64,
 }
 
-/// Parses a path. Rejects one that names no class.
+/// Parses a path. Rejects a path without a known class.
 fn parse_path(options: &DownstreamOptions, path: &str) -> Result<ClassAndKey, RequestError> {
     let mut segments = path
         .strip_prefix('/')
@@ -131,12 +131,13 @@
     Ok(ClassAndKey { class, key })
 }
 
-/// Returns the number of a key. The same text gives the same number at every node.
+/// Returns the number that identifies a key: its value if it is hexadecimal, else its hash. The
+/// same text gives the same number at every node.
 fn key_number(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| stable_hash(text))
 }
 
-/// Checks that the method and the presence of a body are what the class requires.
+/// Checks that the method is the one that the class requires, and that a GET has no body.
 fn check_method(
     class: &ClassOptions,
     method: &Method,
--- a/crates/node/src/downstream/response.rs
+++ b/crates/node/src/downstream/response.rs
@@ -1,4 +1,4 @@
-//! The responses that clients get.
+//! Builds the responses to clients.
 
 use crate::message::FinalResponse;
 use bytes::Bytes;
@@ -20,8 +20,8 @@
     with_body(status, Bytes::from(text))
 }
 
-/// Returns the response to a request that is shed: status 503, with the time after which the client
-/// may retry, in seconds with three decimals.
+/// Returns the response to a shed request: status 503, with the time after which the client may
+/// retry in the Retry-After header, in seconds with three decimals.
 pub(super) fn service_unavailable(retry_after: Option<Duration>) -> FullResponse {
     let mut response = without_body(StatusCode::SERVICE_UNAVAILABLE);
     let seconds = retry_after.map(|after| format!("{:.3}", after.as_secs_f64()));
--- a/crates/node/src/downstream/shutdown_phase.rs
+++ b/crates/node/src/downstream/shutdown_phase.rs
@@ -1,14 +1,14 @@
 //! The phases of the graceful shutdown.
 
-/// A phase of the shutdown. Each phase follows the one before it, and none comes back.
+/// A phase of the graceful shutdown. The phases follow each other in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ShutdownPhase {
     /// Requests are served, and connections are kept.
     Serving,
-    /// The node is not ready: requests are still served, but each connection closes with its next
-    /// response.
+    /// The node reports that it is not ready. Requests are still served, but each connection closes
+    /// after its next response.
     Draining,
-    /// There is no time left to serve further requests: they are shed.
+    /// Further requests are shed, since there is no time left to serve them.
     Shedding,
 }
 
@@ -18,7 +18,7 @@
         self >= ShutdownPhase::Draining
     }
 
-    /// Returns whether requests are shed without being admitted.
+    /// Returns whether requests are shed instead of being admitted.
     pub(super) fn sheds_requests(self) -> bool {
         self >= ShutdownPhase::Shedding
     }
--- a/crates/node/src/downstream/timeouts.rs
+++ b/crates/node/src/downstream/timeouts.rs
@@ -1,4 +1,4 @@
-//! The timeouts of client connections, and what is done when one has passed.
+//! The timeouts of client connections and their enforcement.
 
 use super::connection::{Connection, ConnectionState};
 use std::time::Duration;
@@ -7,10 +7,10 @@
 /// How often the timeouts of all connections are enforced.
 pub(super) const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a client may take from the start of a request to its last byte. The first request
-/// starts with the accept, a later one with its first byte. Together with [`CHECK_INTERVAL`], a
-/// slow client is closed within 3 s.
+/// starts when the connection is accepted, a later one with its first byte. With [`CHECK_INTERVAL`]
+/// added, a slow client's connection is closed within 3 s.
 pub(super) const READ_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a connection without a request is kept. Its client may send another one.
+/// How long an idle connection is kept for its client's next request.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long a client may take to end a connection that is closing.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
@@ -26,7 +26,7 @@
 }
 
 /// Aborts or closes the connection if one of its timeouts has passed. A connection with unread
-/// bytes is not aborted for a late request: if this node was delayed itself, the request may have
+/// bytes is not aborted at the read timeout: if this node was delayed itself, the request may have
 /// arrived in time.
 pub(super) fn enforce(connection: &Connection, now: Instant) {
     match passed_timeout(connection, now) {
@@ -38,11 +38,13 @@
     }
 }
 
-/// Returns the timeout of the connection that has passed by `now`, if one has. The read timeout of
-/// a request whose head has been read is enforced where its body is read.
+/// Returns the timeout of the connection that has passed by `now`, if any. Once a request's head
+/// has been read, its read timeout is enforced by the `request_body` module instead.
 fn passed_timeout(connection: &Connection, now: Instant) -> Option<PassedTimeout> {
     match connection.state() {
-        ConnectionState::Idle { .. } if is_read_late(connection, now) => Some(PassedTimeout::Read),
+        ConnectionState::Idle { .. } if has_read_timed_out(connection, now) => {
+            Some(PassedTimeout::Read)
+        }
         ConnectionState::Idle { since } if now > since + IDLE_TIMEOUT => Some(PassedTimeout::Idle),
         ConnectionState::Closing { since } if now > since + LINGER_TIMEOUT => {
             Some(PassedTimeout::Linger)
@@ -54,7 +56,7 @@
 }
 
 /// Returns whether the request that is being read has taken longer than [`READ_TIMEOUT`].
-fn is_read_late(connection: &Connection, now: Instant) -> bool {
+fn has_read_timed_out(connection: &Connection, now: Instant) -> bool {
     connection
         .request_started()
         .is_some_and(|started| now > started + READ_TIMEOUT)
