--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,4 +1,4 @@
-//! The node's configuration, which is read from the file that `PROXY_CONFIG` names, and checked.
+//! The node's configuration. It is read from the file that `PROXY_CONFIG` names, and checked.
 
 mod capacity;
 mod error;
@@ -13,8 +13,8 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The environment variable that names the file. The other `PROXY_` variables repeat what the file
-/// says, and are not read.
+/// The environment variable with the path of the file. Other `PROXY_` variables repeat values of
+/// the file and are not read.
 const CONFIG_VARIABLE: &str = "PROXY_CONFIG";
 
 /// A node's configuration. Its values have been checked.
@@ -25,15 +25,15 @@
     pub listen_address: SocketAddr,
     /// The address of the discovery service.
     pub discovery_address: SocketAddr,
-    /// The seed of all random choices.
+    /// The seed of all random number generators.
     pub seed: u64,
     /// The configured limits, from which `capacity` is derived.
     limits: ResourceLimits,
-    /// The most that the node holds at once.
+    /// The greatest numbers of connections and the memory for bodies.
     pub capacity: Capacity,
-    /// The endpoint list as this node last had it, in discovery's format. It may be out of date.
+    /// The last endpoint list that this node had, in discovery's format. It may be out of date.
     pub cached_list: Option<String>,
-    /// The balancer's settings, and the names that requests and endpoints use.
+    /// The balancer's settings, and the names of classes, tenants, zones and machine types.
     pub settings_file: SettingsFile,
 }
 
@@ -72,7 +72,8 @@
     }
 
     /// Returns the keys whose values differ in a later configuration but cannot change while the
-    /// node runs. The seed and the cached list are not among them: only a start reads them.
+    /// node runs. The seed and the cached list are not compared, since they are used only at the
+    /// start.
     pub(crate) fn changes_that_need_restart(&self, later: &Config) -> Vec<&'static str> {
         let keys = [
             ("name", self.name != later.name),
@@ -103,8 +104,8 @@
     Ok(SettingsFile::parse(json.as_bytes())?)
 }
 
-/// Checks that the names of classes, tenants and zones are unique and not empty. Names are mapped
-/// to positions, so a repeated name could mean two of them.
+/// Checks that the names of classes, tenants and zones are unique and not empty. A name is mapped
+/// to its position, so a repeated name would be ambiguous.
 fn check_names(settings: &SettingsFile) -> Result<(), ConfigError> {
     let lists = [
         ("settings.Classes", &settings.class_names),
@@ -127,7 +128,7 @@
     Ok(())
 }
 
-/// Returns the capacity within the configured limits and the system's.
+/// Returns the capacity within the configured limits and the system's limit of open files.
 fn capacity(limits: &ResourceLimits) -> Result<Capacity, ConfigError> {
     if limits.sockets < MIN_SOCKETS {
         return Err(ConfigError::TooFewSockets {
@@ -136,7 +137,7 @@
         });
     }
     let descriptors = limits.sockets.min(open_file_limit());
-    Ok(Capacity::within(descriptors, limits.memory_bytes()))
+    Ok(Capacity::from_limits(descriptors, limits.memory_bytes()))
 }
 
 /// Returns how many files the system lets this process open.
--- a/crates/node/src/config/error.rs
+++ b/crates/node/src/config/error.rs
@@ -7,13 +7,13 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// The reason for which a configuration cannot be used. Each text is one line, as the log takes it.
+/// Why a configuration cannot be used. Each message is a single line, since it is logged.
 #[derive(Debug, Error)]
 pub(crate) enum ConfigError {
-    /// The environment does not name a configuration file.
-    #[error("{variable} is not set")]
+    /// The environment variable with the path of the configuration file is not set.
+    #[error("environment variable {variable} is not set")]
     VariableNotSet {
-        /// The environment variable that should name it.
+        /// The name of the variable.
         variable: &'static str,
     },
     /// The file cannot be read.
@@ -21,14 +21,14 @@
     Read {
         /// The path of the file.
         path: PathBuf,
-        /// The error of the system.
+        /// The error of reading it.
         source: io::Error,
     },
     /// The file is not JSON of the expected form.
     #[error(transparent)]
     Json(#[from] JsonError),
     /// The value of a key is not an IP address with a port.
-    #[error("{key}")]
+    #[error("{key}: expected an IP address with a port")]
     InvalidAddress {
         /// The key.
         key: &'static str,
@@ -36,21 +36,21 @@
         source: AddrParseError,
     },
     /// `seed` is not a hexadecimal number of up to 64 bits.
-    #[error("seed")]
+    #[error("seed: expected a hexadecimal number of up to 64 bits")]
     InvalidSeed(#[from] ParseIntError),
     /// `settings` cannot be used by the balancer.
     #[error("bad settings")]
     InvalidSettings(#[from] SettingsError),
-    /// A name under a key of `settings` is empty or repeated, so that it could mean two things.
-    #[error("{key}: a name is empty or stands twice in {names:?}")]
+    /// A name in a list of `settings` is empty or repeated, which would be ambiguous.
+    #[error("{key}: a name is empty or repeated in {names:?}")]
     InvalidNames {
-        /// The key.
+        /// The key of the list.
         key: &'static str,
-        /// All names under it.
+        /// All names in the list.
         names: Vec<String>,
     },
-    /// `limits.sockets` leaves no connection for clients or endpoints.
-    #[error("limits.sockets: {sockets} sockets are too few: {minimum} at least")]
+    /// `limits.sockets` leaves no connections for clients or endpoints.
+    #[error("limits.sockets: {sockets} sockets are too few: expected at least {minimum}")]
     TooFewSockets {
         /// The configured number of sockets.
         sockets: usize,
--- a/crates/node/src/config/error/tests.rs
+++ b/crates/node/src/config/error/tests.rs
@@ -2,43 +2,47 @@
 use crate::startup::NodeError;
 use ottertiller_error_chain::ErrorChain;
 
-const GOOD: &str = r#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"7f","limits":{"sockets":1024},
+const VALID: &str = r#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"7f","limits":{"sockets":1024},
     "settings":{"Classes":[{"Name":"read","Target":200,"GiveUp":400,"Idempotency":"free"}]}}"#;
 
-/// Parses the good configuration with `from` replaced by `to`, and returns the error as it is
+/// Parses the valid configuration with `from` replaced by `to`, and returns the error as it is
 /// logged.
-fn error(from: &str, to: &str) -> String {
-    assert!(GOOD.contains(from), "{from}");
-    let error = Config::parse(&GOOD.replace(from, to))
+fn logged_error(from: &str, to: &str) -> String {
+    assert!(VALID.contains(from), "{from}");
+    let error = Config::parse(&VALID.replace(from, to))
         .err()
-        .expect("a bad configuration");
+        .expect("an invalid configuration");
     ErrorChain(&NodeError::Config(error)).to_string()
 }
 
 #[test]
 fn errors_are_one_line_that_names_the_key_and_the_cause() {
-    assert!(Config::parse(GOOD).is_ok());
+    assert!(Config::parse(VALID).is_ok());
     let cases = [
         (
             "\"127.0.0.1:0\"",
             "\"here\"",
-            "listen: invalid socket address syntax",
+            "listen: expected an IP address with a port: invalid socket address syntax",
         ),
         (
             "\"127.0.0.1:1\"",
             "\"there\"",
-            "discovery: invalid socket address syntax",
+            "discovery: expected an IP address with a port: invalid socket address syntax",
+        ),
+        (
+            "7f",
+            "7x",
+            "seed: expected a hexadecimal number of up to 64 bits: invalid digit found in string",
         ),
-        ("7f", "7x", "seed: invalid digit found in string"),
         (
             "1024",
             "49",
-            "limits.sockets: 49 sockets are too few: 50 at least",
+            "limits.sockets: 49 sockets are too few: expected at least 50",
         ),
         (
             "\"Name\":\"read\"",
             "\"Name\":\"\"",
-            "settings.Classes: a name is empty or stands twice in [\"\"]",
+            "settings.Classes: a name is empty or repeated in [\"\"]",
         ),
         (
             "{\"sockets\":1024}",
@@ -57,6 +61,9 @@
         ),
     ];
     for (from, to, expected) in cases {
-        assert_eq!(error(from, to), format!("bad configuration: {expected}"));
+        assert_eq!(
+            logged_error(from, to),
+            format!("bad configuration: {expected}")
+        );
     }
 }
--- a/crates/node/src/config/file.rs
+++ b/crates/node/src/config/file.rs
@@ -1,4 +1,4 @@
-//! The configuration file: its JSON as it is written, before it is checked.
+//! The JSON of the configuration file, before its values are checked.
 
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -15,16 +15,17 @@
     /// The address of the discovery service.
     #[serde(rename = "discovery")]
     pub discovery_address: String,
-    /// The seed of all random choices, a hexadecimal number of up to 64 bits.
+    /// The seed of all random number generators, a hexadecimal number of up to 64 bits. An empty
+    /// text stands for 0.
     #[serde(default)]
     pub seed: String,
     /// The resources that the node may use.
     #[serde(default)]
     pub limits: ResourceLimits,
-    /// The endpoint list as the node last had it, in discovery's format.
+    /// The last endpoint list that the node had, in discovery's format.
     #[serde(default, rename = "known")]
     pub cached_list: Option<Box<RawValue>>,
-    /// The balancer's settings, a settings file of its own.
+    /// The balancer's settings, in the format of its settings file.
     pub settings: Box<RawValue>,
 }
 
@@ -32,9 +33,9 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default)]
 pub(super) struct ResourceLimits {
-    /// The number of file descriptors, whatever they are open for.
+    /// The greatest number of file descriptors, including those that are not sockets.
     pub sockets: usize,
-    /// The memory, in units of 2^20 bytes.
+    /// The greatest memory, in MiB (2^20 bytes).
     pub memory_mb: f64,
 }
 
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -1,5 +1,5 @@
-//! Builds the parts of the node from the configuration, connects them, and runs them until
-//! shutdown.
+//! Builds the parts of the node from the configuration, connects them, and runs them until the node
+//! shuts down.
 
 mod error;
 mod options;
@@ -31,7 +31,7 @@
 /// The capacity of discovery's inbox, in commands.
 const DISCOVERY_INBOX_CAPACITY: usize = 16;
 
-/// The parts of a node, connected but not running.
+/// The parts of a node, which are connected but do not run yet.
 struct Node {
     downstream: Downstream,
     driver: Driver,
@@ -84,7 +84,7 @@
     let clock = Clock::start();
     let (driver_messages, driver_inbox) = mpsc::channel(DRIVER_INBOX_CAPACITY);
     let (discovery_commands, discovery_inbox) = mpsc::channel(DISCOVERY_INBOX_CAPACITY);
-    let budget = MemoryBudget::new(config.capacity.body_bytes);
+    let budget = MemoryBudget::new(config.capacity.body_memory_bytes);
     let upstream = Upstream::start(clock, upstream_options(config), budget.clone());
     let discovery = Discovery::new(discovery_options(config), driver_messages.clone());
     let channels = DriverChannels {
--- a/crates/node/src/startup/error.rs
+++ b/crates/node/src/startup/error.rs
@@ -1,4 +1,4 @@
-//! Errors that keep the node from running.
+//! Errors that prevent the node from starting or running.
 
 use crate::config::ConfigError;
 use std::io;
@@ -6,7 +6,7 @@
 use thiserror::Error;
 use tokio::task::JoinError;
 
-/// The reason for which the node could not start, or stopped without being asked to.
+/// Why the node could not start, or stopped without a shutdown signal.
 #[derive(Debug, Error)]
 pub(crate) enum NodeError {
     /// The async runtime could not be built.
@@ -18,22 +18,22 @@
     /// The configuration cannot be used.
     #[error("bad configuration")]
     Config(#[from] ConfigError),
-    /// The address for clients cannot be listened on.
+    /// The node cannot listen on the address for clients.
     #[error("cannot listen on {address}")]
     Bind {
         /// The configured address.
         address: SocketAddr,
-        /// The error of the system.
+        /// The error of binding to it.
         source: io::Error,
     },
-    /// The listener's local address is not known.
+    /// The local address of the listener cannot be determined.
     #[error("cannot read the listener's address")]
     LocalAddress(#[source] io::Error),
-    /// The driver's task has ended, or has panicked if there is an error.
-    #[error("the driver task ended")]
+    /// The driver's task has ended. The source is its panic, if it panicked.
+    #[error("the driver task ended unexpectedly")]
     DriverEnded(#[source] Option<JoinError>),
-    /// Discovery's task has ended, or has panicked if there is an error.
-    #[error("the discovery task ended")]
+    /// Discovery's task has ended. The source is its panic, if it panicked.
+    #[error("the discovery task ended unexpectedly")]
     DiscoveryEnded(#[source] Option<JoinError>),
 }
 
--- a/crates/node/src/startup/error/tests.rs
+++ b/crates/node/src/startup/error/tests.rs
@@ -17,9 +17,9 @@
 }
 
 #[test]
-fn an_error_without_source_is_shown_alone() {
+fn an_error_without_source_is_printed_alone() {
     assert_eq!(
         ErrorChain(&NodeError::DriverEnded(None)).to_string(),
-        "the driver task ended"
+        "the driver task ended unexpectedly"
     );
 }
--- a/crates/node/src/startup/options.rs
+++ b/crates/node/src/startup/options.rs
@@ -1,4 +1,4 @@
-//! The options of each part of the node, as the configuration gives them.
+//! Derives the options of each part of the node from the configuration.
 
 use crate::config::Config;
 use crate::discovery::DiscoveryOptions;
@@ -20,7 +20,7 @@
 pub(super) fn downstream_options(config: &Config) -> DownstreamOptions {
     let file = &config.settings_file;
     DownstreamOptions {
-        max_connections: config.capacity.client_connections,
+        max_connections: config.capacity.max_client_connections,
         classes: class_options(file),
         tenants: file.tenant_names.clone(),
         max_retry_after: file.settings.limits.max_retry_after,
@@ -52,7 +52,7 @@
 fn pool_options(config: &Config) -> PoolOptions {
     let file = &config.settings_file;
     PoolOptions {
-        max_connections: config.capacity.endpoint_connections,
+        max_connections: config.capacity.max_endpoint_connections,
         connect_timeout: file.settings.limits.connect_timeout,
         endpoint_idle_timeout: file.endpoint_idle_timeout,
         response_cooldown: RESPONSE_COOLDOWN,
