--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -97,7 +97,7 @@
         downstream_options(config),
         budget,
         driver_messages,
-        discovery.ready(),
+        discovery.ready_flag(),
     );
     Node {
         downstream,
