--- a/crates/node/src/config/capacity.rs
+++ b/crates/node/src/config/capacity.rs
@@ -3,8 +3,8 @@
 
 use crate::limits::READ_BUFFER_BYTES;
 
-/// File descriptors that are kept free of client and endpoint connections: for the standard
-/// streams, the listener, the async runtime, discovery and connects that fail.
+/// File descriptors that are not available for client and endpoint connections, but reserved for
+/// the standard streams, the listener, the async runtime, discovery and connects that fail.
 const RESERVED_DESCRIPTORS: usize = 48;
 /// The smallest number of connections: one to a client and one to an endpoint.
 const MIN_CONNECTIONS: usize = 2;
--- a/crates/node/src/config/file.rs
+++ b/crates/node/src/config/file.rs
@@ -33,9 +33,9 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default)]
 pub(super) struct ResourceLimits {
-    /// The greatest number of file descriptors, including those that are not sockets.
+    /// The limit on file descriptors, including those that are not sockets.
     pub sockets: usize,
-    /// The greatest memory, in MiB (2^20 bytes).
+    /// The limit on memory, in MiB (2^20 bytes).
     pub memory_mb: f64,
 }
 
--- a/crates/node/src/downstream.rs
+++ b/crates/node/src/downstream.rs
@@ -5,7 +5,7 @@
 //! connections, and the [`graceful_shutdown`] drains them.
 //!
 //! The [`request_handler`] passes each request through the [`request_parser`] and [`admission`],
-//! any of which may answer it with a [`rejection`], and then through the [`driver_handle`] to the
+//! either of which may end it with a [`rejection`], and then through the [`driver_handle`] to the
 //! driver.
 
 mod admission;
--- a/crates/node/src/downstream/eviction.rs
+++ b/crates/node/src/downstream/eviction.rs
@@ -28,7 +28,8 @@
     idle_since: Instant,
 }
 
-/// What is known of an idle client. Variants whose eviction costs less come first.
+/// What is known of an idle client. The variants are in ascending order of the cost of evicting
+/// such a client.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum IdleClient {
     /// Has sent nothing since it was accepted.
--- a/crates/node/src/downstream/listener/tests.rs
+++ b/crates/node/src/downstream/listener/tests.rs
@@ -78,7 +78,7 @@
 enum RequestEnd {
     /// It got a response with status 200.
     Served,
-    /// The connection ended before that, or the response was another one.
+    /// The connection ended before that, or the response had another status.
     NotServed,
 }
 
@@ -89,8 +89,8 @@
     /// Connects, and waits until the node has accepted the connection.
     async fn connect(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).await.expect("the node listens");
-        // Virtual time does not advance while the thread waits for the kernel to deliver the
-        // connection.
+        // Blocks in real time, so that the kernel delivers the connection before virtual time
+        // advances.
         std::thread::sleep(KERNEL_DELAY);
         sleep(ACCEPT_DELAY).await;
         Client(stream)
--- a/crates/node/src/logging.rs
+++ b/crates/node/src/logging.rs
@@ -24,7 +24,7 @@
     match admit_line() {
         Some(0) => log(text),
         Some(suppressed) => log(format_args!(
-            "{text} ({suppressed} messages about peers suppressed)"
+            "{text} ({suppressed} earlier lines suppressed by the rate limit)"
         )),
         None => {}
     }
