--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the list of endpoints, and how it is kept up to date.
+//! Discovery: gets the endpoint list from the discovery service and keeps it up to date.
 
 mod backoff;
 mod client;
@@ -13,7 +13,7 @@
 
 use crate::logging::log;
 use crate::message::{DiscoveryCommand, EndpointListUpdate, ListedEndpoint, Message};
-use backoff::{ReconnectBackoff, longest_wait};
+use backoff::{ReconnectBackoff, max_wait};
 use client::DiscoveryClient;
 use endpoint_list::{EndpointList, EntryParser};
 use list_version::ListVersion;
@@ -30,15 +30,17 @@
 /// The options of discovery.
 #[derive(Clone, Debug)]
 pub(crate) struct DiscoveryOptions {
-    /// Where discovery listens at first.
+    /// The initial address of the discovery service.
     pub address: SocketAddr,
-    /// The endpoint list as this node last had it, in discovery's format; perhaps out of date.
+    /// The endpoint list that was cached before this node started, in discovery's format. It may be
+    /// out of date.
     pub cached_list: Option<String>,
-    /// Seeds the jitter of pauses between calls.
+    /// Seeds the jitter of the waits between calls.
     pub seed: u64,
-    /// Whether the list must be polled; otherwise changes are pushed.
+    /// Whether the balancer commands when to call discovery. Otherwise a watch is always open, on
+    /// which discovery pushes changes.
     pub poll: bool,
-    /// How long an endpoint that drains may still be sent requests.
+    /// How long an endpoint may still be sent requests after its drain began.
     pub drain_grace: Duration,
     /// The names of zones, in the order of their numbers.
     pub zone_names: Vec<String>,
@@ -55,9 +57,9 @@
     readiness: Readiness,
     /// The cached list, until it has been applied.
     cached_list: Option<String>,
-    /// Whether the list must be polled.
+    /// Whether the balancer commands when to call discovery.
     poll: bool,
-    /// The version of the list that the driver has.
+    /// The version of the list that was last sent to the driver.
     version: ListVersion,
 }
 
@@ -82,13 +84,14 @@
 }
 
 impl Discovery {
-    /// Returns a discovery that has made no call yet, and sends lists to `messages`.
+    /// Creates a discovery that has made no call yet, and sends updates of the list to `messages`.
     pub(crate) fn new(options: DiscoveryOptions, messages: mpsc::Sender<Message>) -> Self {
-        let longest_wait = longest_wait(options.drain_grace);
+        let max_wait = max_wait(options.drain_grace);
         Discovery {
-            client: DiscoveryClient::new(options.address, 2 * longest_wait),
-            // Not the balancer's own random numbers.
-            backoff: ReconnectBackoff::new(longest_wait, !options.seed),
+            client: DiscoveryClient::new(options.address, 2 * max_wait),
+            // The seed is inverted, so that the jitter does not repeat the balancer's random
+            // numbers.
+            backoff: ReconnectBackoff::new(max_wait, !options.seed),
             parser: EntryParser::new(options.zone_names, options.machine_type_names),
             messages,
             readiness: Readiness::default(),
@@ -98,12 +101,12 @@
         }
     }
 
-    /// Returns the flag that says whether the node knows enough endpoints to serve.
+    /// Returns the flag that is set once the node knows enough endpoints to serve requests.
     pub(crate) fn ready_flag(&self) -> Rc<Cell<bool>> {
         self.readiness.flag()
     }
 
-    /// Keeps the list up to date. Moves to the last of `addresses` whenever that changes.
+    /// Keeps the list up to date. Whenever `addresses` changes, calls go to the new address.
     pub(crate) async fn run(
         mut self,
         commands: mpsc::Receiver<DiscoveryCommand>,
@@ -117,11 +120,12 @@
         }
     }
 
-    /// Applies the cached list of the configuration.
+    /// Applies the cached list of the configuration, if there is a well-formed one.
     async fn start_from_cached_list(&mut self) {
         let cached_list = self.cached_list.take().unwrap_or_default();
         let Some(list) = parse_list(cached_list.as_bytes()) else {
-            // The balancer has to know that the node has started, or it would never ask for a list.
+            // Without an update, the balancer would not learn that the node has started, and would
+            // never ask for a list.
             self.publish(ListKind::Cached, Vec::new()).await;
             return;
         };
@@ -131,51 +135,52 @@
         }
     }
 
-    /// Makes calls to another address from now on.
+    /// Sends further calls to another address.
     ///
-    /// The list stays until discovery has sent a complete one from there, whose versions need not
-    /// be comparable with the old one's.
-    fn move_to(&mut self, address: SocketAddr) {
+    /// The current list stays in use until a complete list arrives from the new address. The
+    /// version is reset, because the versions of the two addresses need not be comparable.
+    fn change_address(&mut self, address: SocketAddr) {
         self.client.set_address(address);
         self.backoff.reset();
         self.version = ListVersion::default();
     }
 
-    /// Applies a list, and publishes what it changes. Malformed entries are dropped alone.
+    /// Applies a list or delta, and publishes it. A malformed entry is dropped; the others are
+    /// kept.
     async fn apply_list(&mut self, list: EndpointList, source: ListSource) {
         let kind = source.kind(list.snapshot);
         let version = self.version.of_update(list.index);
-        let endpoints = self.parse_entries(self.current_entries(kind, version, list.entries));
+        let endpoints = self.parse_entries(self.entries_unless_stale(kind, version, list.entries));
         self.publish(kind, endpoints).await;
-        // Only now: a watch that is dropped before has not published the list, and the next one has
-        // to.
+        // The version advances only after the list was published: if the watch is dropped before,
+        // the next watch has to get the same changes again.
         self.version.advance(kind, version);
         if kind != ListKind::Cached || self.poll {
             self.readiness.set();
         }
     }
 
-    /// Returns the entries of an update; none if it is stale.
+    /// Returns the entries of an update, or no entries if the update is stale.
     ///
-    /// A stale delta would take back what is known since, such as that an endpoint drains.
-    fn current_entries(
+    /// A stale delta would revert later changes, for example the start of an endpoint's drain.
+    fn entries_unless_stale(
         &self,
         kind: ListKind,
         version: ListVersion,
         entries: Vec<Value>,
     ) -> Vec<Value> {
-        if !self.version.makes_stale(kind, version) {
+        if !self.version.supersedes(kind, version) {
             return entries;
         }
         log(format_args!(
-            "stale endpoint list changes dropped: version {}: the endpoint list is at {}",
+            "stale endpoint list update dropped: version {}: the current list has version {}",
             version.number(),
             self.version.number()
         ));
         Vec::new()
     }
 
-    /// Parses entries; those that are malformed are logged and dropped.
+    /// Parses entries. Logs and drops malformed ones.
     fn parse_entries(&self, entries: Vec<Value>) -> Vec<ListedEndpoint> {
         let mut endpoints = Vec::new();
         for entry in entries {
@@ -190,12 +195,12 @@
     /// Sends an update to the driver.
     async fn publish(&self, kind: ListKind, endpoints: Vec<ListedEndpoint>) {
         let update = Message::EndpointList(EndpointListUpdate { kind, endpoints });
-        let _ = self.messages.send(update).await; // fails only when the node has ended
+        let _ = self.messages.send(update).await; // fails only if the driver has ended
     }
 }
 
-/// Parses a list, but not its entries; returns `None` if the text is empty, or malformed and
-/// dropped.
+/// Parses a list, but not its entries. Returns `None` if the text is empty or malformed; a
+/// malformed one is logged and dropped.
 fn parse_list(text: &[u8]) -> Option<EndpointList> {
     if text.is_empty() {
         return None;
@@ -209,11 +214,11 @@
     }
 }
 
-/// Waits until discovery moves, and returns its new address.
+/// Waits until the address of discovery changes, and returns the new one.
 async fn next_address(addresses: &mut watch_channel::Receiver<SocketAddr>) -> SocketAddr {
     match addresses.changed().await {
         Ok(()) => *addresses.borrow_and_update(),
-        Err(_) => std::future::pending().await, // nobody is left to move it
+        Err(_) => std::future::pending().await, // without a sender, it never changes
     }
 }
 
--- a/crates/node/src/discovery/backoff.rs
+++ b/crates/node/src/discovery/backoff.rs
@@ -1,51 +1,51 @@
-//! The waits between calls to discovery that fail.
+//! The waits after failed calls to discovery.
 
 use ottertiller_balancer::{Backoff, Random};
 use std::time::Duration;
 
-/// The first wait after a call that succeeded, unless the longest is shorter.
-const FIRST_WAIT: Duration = Duration::from_millis(100);
-/// The least that the longest wait may be.
-const MIN_LONGEST_WAIT: Duration = Duration::from_millis(50);
-/// The most that the longest wait may be.
-const MAX_LONGEST_WAIT: Duration = Duration::from_secs(1);
+/// The first wait after a reset, unless the maximum wait is shorter.
+const INITIAL_WAIT: Duration = Duration::from_millis(100);
+/// The lower bound of the maximum wait.
+const MAX_WAIT_LOWER_BOUND: Duration = Duration::from_millis(50);
+/// The upper bound of the maximum wait.
+const MAX_WAIT_UPPER_BOUND: Duration = Duration::from_secs(1);
 
-/// Returns the longest wait for this grace of a drain.
+/// Returns the maximum wait for a drain grace.
 ///
-/// Once discovery is back, what it has to say of drains counts as known at once: a node that has
-/// stopped calling for longer than the grace, or waits for a connection that is never established,
-/// learns it too late.
-pub(super) fn longest_wait(drain_grace: Duration) -> Duration {
-    (drain_grace / 4).clamp(MIN_LONGEST_WAIT, MAX_LONGEST_WAIT)
+/// As soon as discovery is reachable again, the node is expected to know of the drains in its list.
+/// If the node made no call for longer than the drain grace, or spent that time on a connection
+/// that is never established, it would learn of a drain too late.
+pub(super) fn max_wait(drain_grace: Duration) -> Duration {
+    (drain_grace / 4).clamp(MAX_WAIT_LOWER_BOUND, MAX_WAIT_UPPER_BOUND)
 }
 
-/// Exponential backoff with jitter, which begins anew after a call that has lasted.
+/// Exponential backoff with jitter, which is reset after a call that lasted long.
 pub(super) struct ReconnectBackoff {
     backoff: Backoff,
     random: Random,
 }
 
 impl ReconnectBackoff {
-    /// Returns a backoff with waits of at most `longest`, and jitter from `seed`.
-    pub(super) fn new(longest: Duration, seed: u64) -> Self {
+    /// Creates a backoff with waits of at most `max_wait`, whose jitter is seeded with `seed`.
+    pub(super) fn new(max_wait: Duration, seed: u64) -> Self {
         ReconnectBackoff {
-            backoff: Backoff::new(FIRST_WAIT.min(longest), longest),
+            backoff: Backoff::new(INITIAL_WAIT.min(max_wait), max_wait),
             random: Random::new(seed),
         }
     }
 
-    /// Begins anew with the shortest wait.
+    /// Makes the next wait the initial one.
     pub(super) fn reset(&mut self) {
         self.backoff.reset();
     }
 
-    /// Returns the wait after a call that failed after `lasted`.
+    /// Returns the wait after a call that failed after `call_duration`.
     ///
-    /// A call that took longer than [`MAX_LONGEST_WAIT`], whether as a watch or as a time-out, is
-    /// followed at once: it cannot make calls frequent, and its watch may have ended in place of a
-    /// change.
-    pub(super) fn next_wait(&mut self, lasted: Duration) -> Duration {
-        if lasted > MAX_LONGEST_WAIT {
+    /// There is no wait after a call that took longer than [`MAX_WAIT_UPPER_BOUND`], whether it was
+    /// an open watch or timed out: such calls cannot become frequent, and the watch may have ended
+    /// instead of delivering a change.
+    pub(super) fn next_wait(&mut self, call_duration: Duration) -> Duration {
+        if call_duration > MAX_WAIT_UPPER_BOUND {
             self.reset();
             return Duration::ZERO;
         }
--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -1,4 +1,4 @@
-//! HTTP calls to discovery: watching the endpoint list.
+//! The HTTP client of the discovery service, which watches the endpoint list.
 
 use crate::discovery::error::DiscoveryError;
 use crate::discovery::framing::{ListFramer, WatchItem};
@@ -18,14 +18,14 @@
 /// The path of the endpoint list.
 const LIST_PATH: &str = "/registry/instances";
 
-/// Calls discovery, with a connection for each call.
+/// Calls the discovery service. Each call has its own connection.
 pub(super) struct DiscoveryClient {
     address: SocketAddr,
     connect_timeout: Duration,
 }
 
 impl DiscoveryClient {
-    /// Returns a client of the discovery service that listens at `address`.
+    /// Creates a client of the discovery service at `address`.
     pub(super) fn new(address: SocketAddr, connect_timeout: Duration) -> Self {
         DiscoveryClient {
             address,
@@ -33,12 +33,12 @@
         }
     }
 
-    /// Sends calls to this address from now on.
+    /// Sends further calls to `address`.
     pub(super) fn set_address(&mut self, address: SocketAddr) {
         self.address = address;
     }
 
-    /// Opens a watch that begins with the changes after `version`, the one that the node has.
+    /// Opens a watch, which begins with the changes after `version`, the version that the node has.
     pub(super) async fn watch(&self, version: u64) -> Result<Watch, DiscoveryError> {
         let deadline = ListDeadline::start();
         let path = format!("{LIST_PATH}?stream=1&index={version}");
@@ -60,7 +60,7 @@
         let (socket, _) = Socket::new(stream);
         let (mut sender, connection_task) = http1::handshake(socket).await?;
         let connection = Connection(spawn_local(async move {
-            let _ = connection_task.await; // an error shows in the response
+            let _ = connection_task.await; // the request or the response body reports the error
         }));
         let request = Request::get(path).header(HOST, self.address.to_string());
         let response = sender
@@ -82,7 +82,7 @@
     connection: Connection,
 }
 
-/// A connection to discovery, which closes when it is dropped.
+/// A connection to discovery. Dropping it closes it.
 struct Connection(JoinHandle<()>);
 
 impl Drop for Connection {
@@ -91,17 +91,17 @@
     }
 }
 
-/// A watch on the endpoint list. It ends when it is dropped.
+/// A watch on the endpoint list. Dropping it ends the watch.
 pub(super) struct Watch {
     body: Incoming,
     framer: ListFramer,
-    /// The time limit of what comes next, a list or a heartbeat.
+    /// The time limit of the next list or heartbeat.
     deadline: ListDeadline,
     _connection: Connection,
 }
 
 impl Watch {
-    /// Returns the text of the next list or delta, once it has arrived whole.
+    /// Returns the text of the next list or delta, once all of it has arrived.
     pub(super) async fn next_list(&mut self) -> Result<Bytes, DiscoveryError> {
         loop {
             match self.framer.next_item()? {
--- a/crates/node/src/discovery/endpoint_list.rs
+++ b/crates/node/src/discovery/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Parsing of endpoint lists, and the endpoints' numbers.
+//! Parsing of endpoint lists, and the ids of endpoints.
 
 use crate::message::ListedEndpoint;
 use crate::stable_hash::stable_hash;
@@ -8,38 +8,39 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// The machine type of an endpoint whose type has no name in the settings.
+/// The machine type of an endpoint whose type is not named in the settings.
 const UNKNOWN_MACHINE_TYPE: u8 = u8::MAX;
-/// The zone of an endpoint that names none.
+/// The zone of an endpoint whose entry names no zone.
 const DEFAULT_ZONE: u8 = 0;
 
-/// A list is no JSON, or lacks what every list has.
+/// A list is not valid JSON, or lacks a required field.
 #[derive(Debug, thiserror::Error)]
 #[error("malformed endpoint list dropped")]
 pub(super) struct MalformedList(#[from] serde_json::Error);
 
-/// Why an entry of a list was dropped.
+/// Why an entry of a list is dropped.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum EntryError {
-    /// It is no JSON object with the fields of an entry.
+    /// The entry is not a JSON object with the fields of an entry.
     #[error("malformed endpoint list entry dropped")]
     Malformed(#[from] serde_json::Error),
-    /// Its zone is none of the settings'.
+    /// The settings do not name the entry's zone.
     #[error("malformed endpoint list entry dropped: {name}: unknown zone {zone}")]
     UnknownZone {
-        /// The endpoint's name.
+        /// The name of the endpoint.
         name: String,
-        /// The zone's name.
+        /// The name of the unknown zone.
         zone: String,
     },
 }
 
-/// A list or a change of it, its entries not parsed yet: a malformed one is dropped alone.
+/// A complete list or a delta. Its entries are parsed separately, so that a malformed entry can be
+/// dropped without the others.
 #[derive(Deserialize)]
 pub(super) struct EndpointList {
-    /// The version of the list that it belongs to.
+    /// The version of the endpoint list after this update.
     pub index: Option<u64>,
-    /// Whether it is complete.
+    /// Whether this is a complete list rather than a delta.
     #[serde(default)]
     pub snapshot: bool,
     /// The entries, not parsed yet.
@@ -54,7 +55,7 @@
     }
 }
 
-/// An entry as discovery writes it.
+/// An entry in discovery's format.
 #[derive(Deserialize)]
 struct RawEntry {
     name: String,
@@ -72,7 +73,7 @@
     since_ms: f64,
 }
 
-/// The state of an endpoint as discovery writes it.
+/// The state of an endpoint in discovery's format.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Status {
@@ -95,14 +96,14 @@
     1.0
 }
 
-/// Parses entries by the names that the settings list.
+/// Parses entries, with the names of zones and machine types from the settings.
 pub(super) struct EntryParser {
     zone_names: Vec<String>,
     machine_type_names: Vec<String>,
 }
 
 impl EntryParser {
-    /// Returns a parser for zones and machine types of these names, in the order of their numbers.
+    /// Creates a parser for zones and machine types of these names, in the order of their numbers.
     pub(super) fn new(zone_names: Vec<String>, machine_type_names: Vec<String>) -> Self {
         EntryParser {
             zone_names,
@@ -113,7 +114,7 @@
     /// Parses an entry.
     pub(super) fn parse(&self, entry: Value) -> Result<ListedEndpoint, EntryError> {
         let raw: RawEntry = serde_json::from_value(entry)?;
-        let Some(zone) = self.zone(&raw.zone) else {
+        let Some(zone) = self.zone_number(&raw.zone) else {
             return Err(EntryError::UnknownZone {
                 name: raw.name,
                 zone: raw.zone,
@@ -122,8 +123,8 @@
         let entry = EndpointEntry {
             id: endpoint_id(&raw.name),
             zone,
-            // An endpoint of a new type serves like any other, but the zone decides where retries
-            // may go.
+            // An unknown machine type is accepted, because it does not keep the endpoint from
+            // serving. An unknown zone is not, because the zone decides where retries may go.
             machine_type: position(&self.machine_type_names, &raw.machine_type)
                 .unwrap_or(UNKNOWN_MACHINE_TYPE),
             cell: raw.group,
@@ -137,8 +138,8 @@
         })
     }
 
-    /// Returns the number of a zone; `None` if its name is not in the settings.
-    fn zone(&self, name: &str) -> Option<u8> {
+    /// Returns the number of a zone; `None` if the settings do not name it.
+    fn zone_number(&self, name: &str) -> Option<u8> {
         if name.is_empty() {
             Some(DEFAULT_ZONE)
         } else {
@@ -147,14 +148,14 @@
     }
 }
 
-/// Returns the position of a name, which is its number.
+/// Returns the position of a name in `names`, which is the number of its zone or machine type.
 fn position(names: &[String], name: &str) -> Option<u8> {
     let position = names.iter().position(|known| known == name)?;
     u8::try_from(position).ok()
 }
 
-/// Returns an endpoint's number. It depends on the name alone, since it must be the same at every
-/// node and after every restart.
+/// Returns the id of an endpoint. It depends on the name alone, because it must be the same in
+/// every node and after every restart.
 fn endpoint_id(name: &str) -> EndpointId {
     EndpointId(stable_hash(name))
 }
--- a/crates/node/src/discovery/endpoint_list/tests.rs
+++ b/crates/node/src/discovery/endpoint_list/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// The values that the hash's authors publish for it.
+/// The expected values are those that the authors of FNV publish.
 #[test]
-fn an_endpoints_number_is_the_fnv_1a_hash_of_its_name() {
+fn an_endpoint_id_is_the_fnv_1a_hash_of_the_name() {
     let published = [
         ("", 0xcbf2_9ce4_8422_2325),
         ("a", 0xaf63_dc4c_8601_ec8c),
@@ -14,21 +14,22 @@
 }
 
 #[test]
-fn an_unknown_zone_is_an_error_and_an_unknown_type_is_not() {
+fn an_unknown_zone_is_an_error_but_an_unknown_type_is_not() {
     let parser = EntryParser::new(
         vec!["a".to_owned(), "b".to_owned()],
         vec!["small".to_owned()],
     );
-    let parse = |zone: &str, kind: &str| {
+    let parse = |zone: &str, machine_type: &str| {
         parser.parse(serde_json::json!({
-            "name": "s1", "address": "127.0.0.1:80", "zone": zone, "type": kind, "status": "in_service"
+            "name": "s1", "address": "127.0.0.1:80", "zone": zone, "type": machine_type,
+            "status": "in_service"
         }))
     };
-    let known = parse("b", "small").expect("well formed").entry;
+    let known = parse("b", "small").expect("a well-formed entry").entry;
     assert_eq!((known.zone, known.machine_type), (1, 0));
-    let unknown_kind = parse("b", "large").expect("well formed").entry;
+    let unknown_type = parse("b", "large").expect("a well-formed entry").entry;
     assert_eq!(
-        (unknown_kind.zone, unknown_kind.machine_type),
+        (unknown_type.zone, unknown_type.machine_type),
         (1, UNKNOWN_MACHINE_TYPE)
     );
     assert!(
--- a/crates/node/src/discovery/framing.rs
+++ b/crates/node/src/discovery/framing.rs
@@ -1,125 +1,131 @@
-//! Splits what a watch sends into lists: one JSON object a line, or one indented over several
-//! lines.
+//! Splits the data of a watch into lists and heartbeats. A list is a JSON object on one line, or
+//! indented over several lines.
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// The longest list that is accepted, in bytes.
+/// The maximum length of a list.
 const MAX_LIST_BYTES: usize = 4 << 20;
-/// Added to the open brackets for a line that is no JSON, so that the list ends there.
-const MALFORMED_LINE: i64 = i64::MIN / 2;
+/// The bracket depth of a line that is not valid JSON. Adding it makes the number of open brackets
+/// negative, so that the list ends with that line.
+const MALFORMED_LINE_DEPTH: i64 = i64::MIN / 2;
 
-/// A list is longer than any that is accepted.
+/// A list is longer than [`MAX_LIST_BYTES`].
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("endpoint list longer than {MAX_LIST_BYTES} bytes")]
 pub(super) struct ListTooLong;
 
-/// What a watch sends.
+/// An item in the data of a watch.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum WatchItem {
-    /// A complete list, or what was sent instead of one and can't be parsed.
+    /// The text of a complete list, or other text that will fail to parse as one.
     List(Bytes),
-    /// An empty line: nothing has changed.
+    /// An empty line, which discovery sends while nothing changes.
     Heartbeat,
 }
 
-/// Splits the data that arrives into lists.
+/// Splits the data of a watch into lists and heartbeats as it arrives.
 #[derive(Default)]
 pub(super) struct ListFramer {
-    /// From the first byte of a list, or of the line that is being read.
-    unread: BytesMut,
-    /// Where in `unread` the line that is being read begins.
+    /// The data that has not been returned yet, from the start of the open list, or of the current
+    /// line if no list is open.
+    buffer: BytesMut,
+    /// The offset of the current line in `buffer`.
     line_start: usize,
-    /// How much of that line has been searched for its end.
+    /// How many bytes of the current line have been searched for its line feed.
     line_searched: usize,
-    /// Brackets that are open at the start of that line.
+    /// The number of brackets that are open at the start of the current line.
     open_brackets: i64,
 }
 
 impl ListFramer {
-    /// Adds data that has arrived.
+    /// Appends data that has arrived.
     pub(super) fn push(&mut self, data: &[u8]) {
-        self.unread.extend_from_slice(data);
+        self.buffer.extend_from_slice(data);
     }
 
-    /// Returns the next list or heartbeat that has arrived whole; `None` until more data arrives.
+    /// Returns the next complete list or heartbeat; `None` if more data has to arrive first.
     pub(super) fn next_item(&mut self) -> Result<Option<WatchItem>, ListTooLong> {
         while let Some(line_end) = self.find_line_end() {
-            if let Some(line) = self.take_line(line_end) {
-                return Ok(Some(line));
+            if let Some(item) = self.take_line(line_end) {
+                return Ok(Some(item));
             }
         }
         if self.is_complete_without_line_end() {
-            return Ok(Some(self.split_list(self.unread.len())));
+            return Ok(Some(self.split_list(self.buffer.len())));
         }
-        if self.unread.len() > MAX_LIST_BYTES {
+        if self.buffer.len() > MAX_LIST_BYTES {
             Err(ListTooLong)
         } else {
             Ok(None)
         }
     }
 
-    /// Returns the end of the line that is being read, past its line feed, once that has arrived.
+    /// Returns the offset after the current line's line feed; `None` if that has not arrived.
     fn find_line_end(&mut self) -> Option<usize> {
         let search_start = self.line_start + self.line_searched;
-        let line_feed = self.unread[search_start..]
+        let line_feed = self.buffer[search_start..]
             .iter()
             .position(|byte| *byte == b'\n');
         if line_feed.is_none() {
-            self.line_searched = self.unread.len() - self.line_start;
+            self.line_searched = self.buffer.len() - self.line_start;
         }
         Some(search_start + line_feed? + 1)
     }
 
-    /// Goes on to the next line, and returns what has ended with this one.
+    /// Processes the current line, and returns the list or heartbeat that ends with or before it,
+    /// if any.
     fn take_line(&mut self, line_end: usize) -> Option<WatchItem> {
-        let line = &self.unread[self.line_start..line_end];
+        let line = &self.buffer[self.line_start..line_end];
         let is_blank = line.trim_ascii().is_empty();
         let depth = bracket_depth(line);
-        // No list holds an empty line, and none holds another list: one that is open by then was
+        // A list contains neither an empty line nor another list. If one is still open here, it was
         // cut short.
-        let starts_anew = is_blank || depth == Some(0) && is_list(line);
-        if self.line_start > 0 && starts_anew {
+        let ends_open_list = is_blank || depth == Some(0) && is_complete_list(line);
+        if self.line_start > 0 && ends_open_list {
             return Some(self.split_list(self.line_start));
         }
         if is_blank {
-            self.unread.advance(line_end);
+            self.buffer.advance(line_end);
             self.line_searched = 0;
             return Some(WatchItem::Heartbeat);
         }
         self.line_start = line_end;
         self.line_searched = 0;
-        self.open_brackets += depth.unwrap_or(MALFORMED_LINE);
+        self.open_brackets += depth.unwrap_or(MALFORMED_LINE_DEPTH);
         (self.open_brackets <= 0).then(|| self.split_list(line_end))
     }
 
-    /// Returns whether a list is complete though no line feed has come: an indented one may end
-    /// without.
+    /// Returns whether a list is complete although no line feed has followed: an indented list may
+    /// end without one.
     fn is_complete_without_line_end(&self) -> bool {
-        let line = &self.unread[self.line_start..];
+        let line = &self.buffer[self.line_start..];
         let ends_with_bracket = line.trim_ascii_end().ends_with(b"}");
         ends_with_bracket
             && bracket_depth(line).is_some_and(|depth| self.open_brackets + depth == 0)
     }
 
-    /// Splits off what has arrived up to `end` as a list.
+    /// Removes the buffer up to `end`, and returns it as a list.
     fn split_list(&mut self, end: usize) -> WatchItem {
         self.line_start = 0;
         self.line_searched = 0;
         self.open_brackets = 0;
-        WatchItem::List(self.unread.split_to(end).freeze())
+        WatchItem::List(self.buffer.split_to(end).freeze())
     }
 }
 
-/// Returns whether a line that closes all brackets that it opens is a list of its own, and not a
-/// part of one.
-fn is_list(line: &[u8]) -> bool {
-    /// The key that every list has.
-    const ENTRIES: &[u8] = b"\"endpoints\"";
-    line.starts_with(b"{") && line.windows(ENTRIES.len()).any(|part| part == ENTRIES)
+/// Returns whether a line is a complete list, rather than a part of one. The line must close all
+/// brackets that it opens.
+fn is_complete_list(line: &[u8]) -> bool {
+    /// The key that every list contains.
+    const ENTRIES_KEY: &[u8] = b"\"endpoints\"";
+    line.starts_with(b"{")
+        && line
+            .windows(ENTRIES_KEY.len())
+            .any(|part| part == ENTRIES_KEY)
 }
 
-/// Returns how many more brackets a line opens than it closes; `None` if it ends within a string,
-/// which no line of JSON does.
+/// Returns how many more brackets a line opens than it closes. Returns `None` if the line ends
+/// within a string, which is not valid JSON.
 fn bracket_depth(line: &[u8]) -> Option<i64> {
     let mut depth = 0;
     let mut in_string = false;
--- a/crates/node/src/discovery/list_deadline.rs
+++ b/crates/node/src/discovery/list_deadline.rs
@@ -1,9 +1,10 @@
-//! How long discovery may take for a list.
+//! The time limit within which a list must arrive from discovery.
 //!
-//! A node counts as knowing of a change 6 s after discovery had it, whatever became of the call or
-//! the watch that was to bring it. So a list has one time limit, from the call or from whatever
-//! came whole before it on the watch, and bytes that trickle in do not extend it. A list that
-//! arrives fast enough to become whole may use more of the 6 s.
+//! A node is expected to know of a change 6 s after discovery has it, even if the call or the watch
+//! that should have brought it has failed. Each list therefore has one time limit, which starts
+//! with the call or after the last complete list or heartbeat on the watch. Bytes that trickle in
+//! do not extend it. Only a list that arrives fast enough to be complete in time may use more of
+//! the 6 s.
 
 use crate::discovery::error::DiscoveryError;
 use bytes::Bytes;
@@ -12,35 +13,37 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// The time for a list. It leaves time for another call, with the pause before that and its jitter.
-/// A watch sends something every 2 s, so that one without anything whole for so long is broken,
-/// whatever TCP says.
+/// The time limit of a list. It leaves enough of the 6 s for another call and the jittered wait
+/// before that. Discovery sends a list or heartbeat every 2 s on a watch, so a watch on which none
+/// is complete within this limit is broken, even if TCP reports no error.
 const LIST_TIMEOUT: Duration = Duration::from_secs(4);
-/// The time for a list that is arriving fast.
-const ARRIVING_LIST_TIMEOUT: Duration = Duration::from_millis(5500);
-/// How often the pace is checked of a list that takes longer than [`LIST_TIMEOUT`].
-const PACE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// What arrives at this pace makes a list of thousands of endpoints in time; the slowest list that
-/// becomes whole within [`LIST_TIMEOUT`] needs no check.
-const MIN_BYTES_PER_S: f64 = 16.0 * 1024.0;
+/// The time limit of a list that is arriving fast enough.
+const EXTENDED_LIST_TIMEOUT: Duration = Duration::from_millis(5500);
+/// How often the rate of a list is checked that takes longer than [`LIST_TIMEOUT`].
+const RATE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// The lowest rate at which a list may arrive that takes longer than [`LIST_TIMEOUT`]. It is meant
+/// to let lists of thousands of endpoints arrive in time. A list that is complete within
+/// [`LIST_TIMEOUT`] may be slower.
+const MIN_LIST_BYTES_PER_S: f64 = 16.0 * 1024.0;
 
-/// The time limit of the list that is awaited.
+/// The time limit of the next list or heartbeat.
 pub(super) struct ListDeadline {
     started: Instant,
-    /// When the first bytes of the list came, and how many have come.
-    arriving: Option<(Instant, usize)>,
+    /// When the first bytes of the list arrived, and how many bytes have arrived since.
+    arrived: Option<(Instant, usize)>,
 }
 
 impl ListDeadline {
-    /// Returns a time limit that begins now.
+    /// Creates a time limit that starts now.
     pub(super) fn start() -> Self {
         ListDeadline {
             started: Instant::now(),
-            arriving: None,
+            arrived: None,
         }
     }
 
-    /// Runs a call until its response begins, or fails with [`DiscoveryError::TimedOut`].
+    /// Runs a call until its response begins. Fails with [`DiscoveryError::TimedOut`] if that is
+    /// not within [`LIST_TIMEOUT`].
     pub(super) async fn limit_call<T>(
         &self,
         call: impl Future<Output = Result<T, DiscoveryError>>,
@@ -50,8 +53,8 @@
             .map_err(|_| DiscoveryError::TimedOut)?
     }
 
-    /// Returns the next part of a body; `None` at its end. Fails with [`DiscoveryError::TimedOut`]
-    /// if the list is late.
+    /// Returns the next part of a body, or `None` at its end. Fails with
+    /// [`DiscoveryError::TimedOut`] if the list exceeds its time limit.
     pub(super) async fn next_part(
         &mut self,
         body: &mut Incoming,
@@ -66,7 +69,9 @@
                         return Ok(Some(data));
                     }
                 }
-                Err(_) if self.is_on_pace() => check_at = Instant::now() + PACE_CHECK_INTERVAL,
+                Err(_) if self.arrives_fast_enough() => {
+                    check_at = Instant::now() + RATE_CHECK_INTERVAL;
+                }
                 Err(_) => return Err(DiscoveryError::TimedOut),
             }
         }
@@ -74,16 +79,17 @@
 
     /// Records bytes of the list that have arrived.
     fn record_arrival(&mut self, bytes: usize) {
-        let (_, arrived) = self.arriving.get_or_insert((Instant::now(), 0));
-        *arrived += bytes;
+        let (_, arrived_bytes) = self.arrived.get_or_insert((Instant::now(), 0));
+        *arrived_bytes += bytes;
     }
 
-    /// Returns whether the list arrives fast enough to become whole in time.
-    fn is_on_pace(&self) -> bool {
-        let Some((first, bytes)) = self.arriving else {
+    /// Returns whether the list arrives at [`MIN_LIST_BYTES_PER_S`] or faster, and is within
+    /// [`EXTENDED_LIST_TIMEOUT`].
+    fn arrives_fast_enough(&self) -> bool {
+        let Some((first_at, bytes)) = self.arrived else {
             return false;
         };
-        let needed = first.elapsed().as_secs_f64() * MIN_BYTES_PER_S;
-        bytes as f64 >= needed && self.started.elapsed() < ARRIVING_LIST_TIMEOUT
+        let min_bytes = first_at.elapsed().as_secs_f64() * MIN_LIST_BYTES_PER_S;
+        bytes as f64 >= min_bytes && self.started.elapsed() < EXTENDED_LIST_TIMEOUT
     }
 }
--- a/crates/node/src/discovery/list_version/tests.rs
+++ b/crates/node/src/discovery/list_version/tests.rs
@@ -11,12 +11,12 @@
         (ListKind::Cached, 7, false),
     ] {
         let update = list.of_update(Some(index));
-        assert_eq!(list.makes_stale(kind, update), is_stale, "{kind:?} {index}");
+        assert_eq!(list.supersedes(kind, update), is_stale, "{kind:?} {index}");
     }
 }
 
 #[test]
-fn a_delta_never_lowers_the_version_and_a_complete_list_may() {
+fn a_delta_never_lowers_the_version_but_a_complete_list_may() {
     let mut list = ListVersion(8);
     list.advance(ListKind::Delta, ListVersion(7));
     assert_eq!(list.number(), 8);
--- a/crates/node/src/discovery/poll.rs
+++ b/crates/node/src/discovery/poll.rs
@@ -1,5 +1,5 @@
-//! Where the list must be polled: the balancer commands when, and every call that fails is reported
-//! to it.
+//! Keeping the list up to date by polling: the balancer commands when a watch is open, and each
+//! failed call is reported to it.
 
 use crate::discovery::error::DiscoveryError;
 use crate::discovery::watch::log_watch_failure;
@@ -9,20 +9,21 @@
 use std::net::SocketAddr;
 use tokio::sync::{mpsc, watch};
 
-/// The watch that the balancer has commanded.
+/// The state of the watch that the balancer commands.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Subscription {
     /// The balancer wants no watch.
     Unsubscribed,
     /// A watch is open or being opened.
     Watching,
-    /// The watch has failed. The balancer has been told and decides anew.
+    /// The watch has failed. The failure was reported to the balancer, which sends a new command.
     Failed,
 }
 
 impl Subscription {
-    /// Returns the state once discovery has moved: a watch that had failed is opened there.
-    fn after_move(self) -> Self {
+    /// Returns the state after the address of discovery has changed: a watch that had failed is
+    /// opened at the new address.
+    fn after_address_change(self) -> Self {
         match self {
             Subscription::Unsubscribed => Subscription::Unsubscribed,
             Subscription::Watching | Subscription::Failed => Subscription::Watching,
@@ -30,12 +31,12 @@
     }
 }
 
-/// What happens between two turns of the poll loop.
+/// An event of the poll loop.
 enum PollEvent {
     /// The balancer's next command; `None` once the node has ended.
     Command(Option<DiscoveryCommand>),
-    /// Discovery listens at another address from now on.
-    DiscoveryMoved(SocketAddr),
+    /// The address of discovery has changed.
+    AddressChanged(SocketAddr),
     /// The watch has failed.
     WatchFailed(DiscoveryError),
 }
@@ -60,9 +61,9 @@
                     subscription = Subscription::Unsubscribed;
                 }
                 PollEvent::Command(None) => return,
-                PollEvent::DiscoveryMoved(address) => {
-                    self.move_to(address);
-                    subscription = subscription.after_move();
+                PollEvent::AddressChanged(address) => {
+                    self.change_address(address);
+                    subscription = subscription.after_address_change();
                 }
                 PollEvent::WatchFailed(error) => {
                     log_watch_failure(&error);
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Waits for the next event. A watch is open meanwhile if the balancer has commanded one.
+    /// Waits for the next event. Meanwhile, a watch is open if the balancer has commanded one.
     async fn next_poll_event(
         &mut self,
         subscription: Subscription,
@@ -83,7 +84,7 @@
         let is_watching = subscription == Subscription::Watching;
         tokio::select! {
             command = commands.recv() => PollEvent::Command(command),
-            address = next_address(addresses) => PollEvent::DiscoveryMoved(address),
+            address = next_address(addresses) => PollEvent::AddressChanged(address),
             error = self.watch(), if is_watching => PollEvent::WatchFailed(error),
         }
     }
--- a/crates/node/src/discovery/readiness.rs
+++ b/crates/node/src/discovery/readiness.rs
@@ -1,4 +1,4 @@
-//! Whether the node knows enough endpoints to serve.
+//! The readiness of the node: whether it knows enough endpoints to serve requests.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -6,16 +6,16 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// How long after its start a node with a cached list becomes ready, though discovery has sent no
+/// How long after its start a node with a cached list becomes ready, even if discovery has sent no
 /// list.
 const MAX_WAIT_WITH_CACHED_LIST: Duration = Duration::from_secs(1);
 
-/// A flag that is false at the start, and never false again once it is set.
+/// The readiness flag. It is false at the start, and stays true once it is set.
 #[derive(Default)]
 pub(super) struct Readiness(Rc<Cell<bool>>);
 
 impl Readiness {
-    /// Returns the flag, for the side that accepts clients.
+    /// Returns the flag, for the downstream side.
     pub(super) fn flag(&self) -> Rc<Cell<bool>> {
         self.0.clone()
     }
@@ -27,8 +27,8 @@
 
     /// Marks the node as ready after [`MAX_WAIT_WITH_CACHED_LIST`].
     ///
-    /// The node has endpoints from a cached list, which may be old: the first call may still bring
-    /// a newer one before clients come.
+    /// The cached list may be out of date. The delay gives the first call time to bring a newer
+    /// list before clients send requests.
     pub(super) fn set_after_max_wait(&self) {
         let flag = self.flag();
         spawn_local(async move {
--- a/crates/node/src/discovery/watch.rs
+++ b/crates/node/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! Where changes of the list are pushed: a watch for good.
+//! Keeping the list up to date by push: a watch is always open, on which discovery sends changes.
 
 use crate::discovery::error::DiscoveryError;
 use crate::discovery::{Discovery, ListSource, next_address, parse_list};
@@ -11,41 +11,41 @@
 use tokio::time::{Instant, sleep};
 
 impl Discovery {
-    /// Watches the list, and opens the watch anew whenever it fails. The list stays as it is
+    /// Watches the list, and opens a new watch whenever one fails. The current list stays in use
     /// meanwhile.
     pub(super) async fn watch_forever(&mut self, mut addresses: watch::Receiver<SocketAddr>) {
         loop {
-            let opened = Instant::now();
+            let opened_at = Instant::now();
             tokio::select! {
                 error = self.watch() => {
-                    let wait = self.backoff.next_wait(opened.elapsed());
+                    let wait = self.backoff.next_wait(opened_at.elapsed());
                     log_watch_failure(&error);
-                    self.wait_to_watch_again(wait, &mut addresses).await;
+                    self.wait_before_watch(wait, &mut addresses).await;
                 }
-                address = next_address(&mut addresses) => self.move_to(address),
+                address = next_address(&mut addresses) => self.change_address(address),
             }
         }
     }
 
-    /// Waits before the next watch, unless discovery moves meanwhile.
-    async fn wait_to_watch_again(
+    /// Waits before the next watch. Returns early if the address of discovery changes.
+    async fn wait_before_watch(
         &mut self,
         wait: Duration,
         addresses: &mut watch::Receiver<SocketAddr>,
     ) {
         tokio::select! {
             () = sleep(wait) => {}
-            address = next_address(addresses) => self.move_to(address),
+            address = next_address(addresses) => self.change_address(address),
         }
     }
 
-    /// Watches the list until that fails, and returns why.
+    /// Watches the list until the watch fails, and returns the error.
     pub(super) async fn watch(&mut self) -> DiscoveryError {
         let Err(error) = self.apply_watched_lists().await;
         error
     }
 
-    /// Applies each list that a watch brings.
+    /// Opens a watch, and applies each list or delta that arrives on it.
     async fn apply_watched_lists(&mut self) -> Result<Infallible, DiscoveryError> {
         let mut watch = self.client.watch(self.version.number()).await?;
         loop {
@@ -57,7 +57,7 @@
     }
 }
 
-/// Logs why a watch has failed.
+/// Logs the failure of a watch.
 pub(super) fn log_watch_failure(error: &DiscoveryError) {
     let cause = ErrorChain(error);
     log(format_args!("endpoint list watch failed: {cause}"));
