--- a/crates/node/src/discovery/client/tests.rs
+++ b/crates/node/src/discovery/client/tests.rs
@@ -1,4 +1,5 @@
-//! How long a call may take for a list. Time is the runtime's own here.
+//! The time limits of lists. The runtime's clock is paused, and advances only while every task
+//! waits.
 
 use super::*;
 use crate::socket::fault_injection::InjectedFaults;
@@ -9,11 +10,12 @@
 use tokio::time::{Instant, sleep};
 
 const LIST_DEADLINE: Duration = Duration::from_secs(6);
-const STEP: Duration = Duration::from_millis(100);
-/// More than the node gives a list that hardly arrives, less than the deadline.
-const SLOW_LIST_TIME: Duration = Duration::from_millis(5000);
+/// The time between two pieces of a response.
+const PIECE_INTERVAL: Duration = Duration::from_millis(100);
+/// Longer than the time limit of a list that trickles in, and shorter than the deadline.
+const SLOW_LIST_DURATION: Duration = Duration::from_millis(5000);
 
-/// A list of as many endpoints as the largest fleets have.
+/// Returns a list of 3200 endpoints, as many as the largest fleets have.
 fn large_list() -> String {
     let entries: Vec<_> = (0..3200)
         .map(|n| {
@@ -29,22 +31,23 @@
     ) + "\n"
 }
 
-/// Answers one call with `pieces`, one each [`STEP`], and keeps the connection open.
+/// Responds to one call with `pieces`, one each [`PIECE_INTERVAL`], and keeps the connection open.
 async fn serve_slowly(listener: TcpListener, pieces: Vec<Vec<u8>>) {
     let (mut stream, _) = listener.accept().await.expect("a call");
-    let mut read = [0; 1024];
-    assert!(stream.read(&mut read).await.expect("a head") > 0);
+    let mut request = [0; 1024];
+    assert!(stream.read(&mut request).await.expect("a request") > 0);
     for piece in pieces {
-        sleep(STEP).await;
+        sleep(PIECE_INTERVAL).await;
         if stream.write_all(&piece).await.is_err() {
             return;
         }
-        stream.flush().await.expect("a node");
+        stream.flush().await.expect("flush the stream");
     }
     std::future::pending::<()>().await;
 }
 
-/// How a call and its list end that is answered with these pieces, and how long that takes.
+/// Makes a call to which these pieces are the response. Returns the list or the error, and the time
+/// until then.
 fn call(pieces: Vec<Vec<u8>>) -> (Result<Bytes, DiscoveryError>, Duration) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -57,13 +60,13 @@
             Duration::from_secs(1),
         );
         let server = spawn_local(serve_slowly(listener, pieces));
-        let started = Instant::now();
+        let started_at = Instant::now();
         let result = match client.watch(0).await {
             Ok(mut watch) => watch.next_list().await,
             Err(error) => Err(error),
         };
         server.abort();
-        (result, started.elapsed())
+        (result, started_at.elapsed())
     })
 }
 
@@ -74,11 +77,11 @@
 #[test]
 fn a_large_list_that_arrives_slowly_is_taken_in() {
     let list = large_list();
-    let pieces_count = (SLOW_LIST_TIME.as_millis() / STEP.as_millis()) as usize;
+    let piece_count = (SLOW_LIST_DURATION.as_millis() / PIECE_INTERVAL.as_millis()) as usize;
     let mut pieces = vec![head(list.len())];
     pieces.extend(
         list.as_bytes()
-            .chunks(list.len().div_ceil(pieces_count))
+            .chunks(list.len().div_ceil(piece_count))
             .map(<[u8]>::to_vec),
     );
     let (result, elapsed) = call(pieces);
@@ -86,12 +89,13 @@
     assert!(elapsed < LIST_DEADLINE, "{elapsed:?}");
 }
 
-/// By the deadline, the next call has to have brought the list.
+/// A list that trickles in times out early enough for the next call to bring the list by the
+/// deadline.
 #[test]
 fn a_call_whose_list_hardly_arrives_times_out_early_enough() {
-    const MAX_TIME: Duration = Duration::from_millis(4200);
-    for steps_before_head in [0, 20, 38] {
-        let mut pieces = vec![Vec::new(); steps_before_head];
+    const MAX_CALL_DURATION: Duration = Duration::from_millis(4200);
+    for intervals_before_head in [0, 20, 38] {
+        let mut pieces = vec![Vec::new(); intervals_before_head];
         pieces.push(head(1 << 20));
         pieces.extend((0..1000).map(|_| b"{".to_vec()));
         let (result, elapsed) = call(pieces);
@@ -100,11 +104,11 @@
             "{result:?}"
         );
         assert!(
-            elapsed <= MAX_TIME,
-            "{elapsed:?}, head after {steps_before_head} steps"
+            elapsed <= MAX_CALL_DURATION,
+            "{elapsed:?}, headers after {intervals_before_head} intervals"
         );
     }
-    // An indented list that gets another line each second, and never its end.
+    // An indented list whose lines keep arriving, and which never ends.
     let mut pieces = vec![head(1 << 20), b"{\n".to_vec()];
     pieces.extend((0..1000).map(|n| format!("  \"key{n}\": 0,\n").into_bytes()));
     let (result, elapsed) = call(pieces);
@@ -112,7 +116,7 @@
         matches!(result, Err(DiscoveryError::TimedOut)),
         "{result:?}"
     );
-    assert!(elapsed <= MAX_TIME, "{elapsed:?}");
+    assert!(elapsed <= MAX_CALL_DURATION, "{elapsed:?}");
 }
 
 #[test]
@@ -125,7 +129,7 @@
         let faults = fault();
         let (result, elapsed) = call(vec![head(LIST.len()), LIST.as_bytes().to_vec()]);
         assert_eq!(result.expect("a list"), LIST);
-        assert!(elapsed <= 3 * STEP, "{elapsed:?}");
-        assert!(faults.count() > 0, "it is reached");
+        assert!(elapsed <= 3 * PIECE_INTERVAL, "{elapsed:?}");
+        assert!(faults.count() > 0, "no fault was injected");
     }
 }
--- a/crates/node/src/discovery/framing/tests.rs
+++ b/crates/node/src/discovery/framing/tests.rs
@@ -1,39 +1,41 @@
 use super::*;
 
-/// What comes of a text that arrives in pieces of that size.
-fn split(text: &str, size: usize) -> Vec<String> {
-    let (mut framer, mut found) = (ListFramer::default(), Vec::new());
-    for piece in text.as_bytes().chunks(size) {
+/// Returns the lists into which a text is split that arrives in pieces of `piece_size` bytes.
+fn split(text: &str, piece_size: usize) -> Vec<String> {
+    let mut framer = ListFramer::default();
+    let mut lists = Vec::new();
+    for piece in text.as_bytes().chunks(piece_size) {
         framer.push(piece);
-        while let Some(line) = framer.next_item().expect("not long") {
-            if let WatchItem::List(list) = line {
-                found.push(String::from_utf8_lossy(list.trim_ascii()).into_owned());
+        while let Some(item) = framer.next_item().expect("no list is too long") {
+            if let WatchItem::List(list) = item {
+                lists.push(String::from_utf8_lossy(list.trim_ascii()).into_owned());
             }
         }
     }
-    found
+    lists
 }
 
-const ONE: &str = r#"{"index":1,"endpoints":[{"name":"a {[\" b"}]}"#;
+const ONE_LINE: &str = r#"{"index":1,"endpoints":[{"name":"a {[\" b"}]}"#;
 const INDENTED: &str =
     "{\n  \"index\": 2,\n  \"endpoints\": [\n    {\n      \"name\": \"a\"\n    }\n  ]\n}";
-const BY_LINE: &str = "{\"endpoints\": [\n{\"name\": \"a\"},\n{\"name\": \"b\"}\n]}";
-const FLAT: &str = "{\n\"index\": 3,\n\"endpoints\": [\n{\n\"name\": \"a\"\n}\n]\n}";
+const ENTRY_PER_LINE: &str = "{\"endpoints\": [\n{\"name\": \"a\"},\n{\"name\": \"b\"}\n]}";
+const UNINDENTED: &str = "{\n\"index\": 3,\n\"endpoints\": [\n{\n\"name\": \"a\"\n}\n]\n}";
 
 #[test]
-fn lists_of_any_format_in_pieces_of_any_size_split_alike() {
-    let text = format!("\n{ONE}\n\n{INDENTED}\n{FLAT}\n\n\n{BY_LINE}\n{ONE}");
-    for size in 1..text.len() {
+fn lists_of_any_format_are_split_from_pieces_of_any_size() {
+    let text =
+        format!("\n{ONE_LINE}\n\n{INDENTED}\n{UNINDENTED}\n\n\n{ENTRY_PER_LINE}\n{ONE_LINE}");
+    for piece_size in 1..text.len() {
         assert_eq!(
-            split(&text, size),
-            [ONE, INDENTED, FLAT, BY_LINE, ONE],
-            "pieces of {size}"
+            split(&text, piece_size),
+            [ONE_LINE, INDENTED, UNINDENTED, ENTRY_PER_LINE, ONE_LINE],
+            "pieces of {piece_size} bytes"
         );
     }
 }
 
 #[test]
-fn a_truncated_list_does_not_swallow_the_next_one() {
+fn a_truncated_list_does_not_consume_the_next_one() {
     for broken in [
         "{\"index\":4,\"endpoints\":[",
         "{\n  \"index\": 4,",
@@ -41,7 +43,10 @@
         "]]}",
         "{\"index\": \"4",
     ] {
-        assert_eq!(split(&format!("{broken}\n{ONE}\n"), 7), [broken, ONE]);
+        assert_eq!(
+            split(&format!("{broken}\n{ONE_LINE}\n"), 7),
+            [broken, ONE_LINE]
+        );
         assert_eq!(
             split(&format!("{broken}\n\n{INDENTED}\n"), 7)
                 .last()
@@ -52,7 +57,7 @@
 }
 
 #[test]
-fn a_list_without_end_is_too_long() {
+fn an_endless_list_fails_as_too_long() {
     let mut framer = ListFramer::default();
     framer.push(b"{\"index\":");
     let piece = [b' '; 1 << 16];
@@ -62,15 +67,18 @@
     }));
 }
 
-/// An empty line within a list is the end of that list, and says nothing of the watch.
+/// An empty line within a list ends that list, and is no sign that the watch is alive.
 #[test]
 fn only_an_empty_line_between_lists_is_a_heartbeat() {
-    let heartbeats = |text: &str| {
+    let count_heartbeats = |text: &str| {
         let mut framer = ListFramer::default();
         framer.push(text.as_bytes());
-        let lines = std::iter::from_fn(|| framer.next_item().expect("not long"));
-        lines.filter(|line| *line == WatchItem::Heartbeat).count()
+        let items = std::iter::from_fn(|| framer.next_item().expect("no list is too long"));
+        items.filter(|item| *item == WatchItem::Heartbeat).count()
     };
-    assert_eq!(heartbeats(&format!("\n{ONE}\n\r\n{INDENTED}\n\n")), 3);
-    assert_eq!(heartbeats("{\n  \"index\": 4,\n"), 0);
+    assert_eq!(
+        count_heartbeats(&format!("\n{ONE_LINE}\n\r\n{INDENTED}\n\n")),
+        3
+    );
+    assert_eq!(count_heartbeats("{\n  \"index\": 4,\n"), 0);
 }
--- a/crates/node/src/discovery/tests.rs
+++ b/crates/node/src/discovery/tests.rs
@@ -1,10 +1,10 @@
-//! However a call to discovery failed, the next list has arrived within 6 s of discovery being
-//! reachable. Time is the runtime's own here, and advances only when everything waits.
+//! After any failure of calls to discovery, the next list arrives within 6 s of discovery being
+//! reachable again. The runtime's clock is paused, and advances only while every task waits.
 
 mod failing_discovery;
 mod node;
 
-use failing_discovery::{FAILURES, Failure, LISTED, run_discovery};
+use failing_discovery::{FAILURES, Failure, SNAPSHOT, run_discovery};
 use node::{TestNode, config};
 use ottertiller_balancer::settings::millis;
 use std::net::SocketAddr;
@@ -15,10 +15,11 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep};
 
-/// What the kernel may take to hand on what one side wrote, in real time.
-const KERNEL: Duration = Duration::from_millis(1);
+/// How long the kernel may take to deliver what one side wrote, in real time.
+const KERNEL_DELAY: Duration = Duration::from_millis(1);
 const LIST_DEADLINE: Duration = Duration::from_secs(6);
-/// The modes of keeping the list, with their poll intervals in milliseconds.
+/// The values of the settings `RegistryMode` and `MustAskIn` (the poll interval, in milliseconds)
+/// under test.
 const MODES: [(&str, u64); 4] = [
     ("push", 10_000),
     ("ask", 4_000),
@@ -34,13 +35,13 @@
     runtime.expect("a runtime")
 }
 
-/// How long a node goes without the list once discovery can be reached, after a failure of that
-/// length.
+/// Returns how long a node takes to get the list from the moment when discovery is reachable again,
+/// after a failure of the given duration.
 fn time_without_list(
     mode: &str,
     poll_interval: u64,
     failure: Failure,
-    length: Duration,
+    failure_duration: Duration,
     seed: u64,
 ) -> Duration {
     LocalSet::new().block_on(&paused_runtime(), async {
@@ -54,47 +55,49 @@
             poll_interval,
             seed,
         );
-        // The first call is not after a failed one: the failure lasts for so long from there.
-        let first = Duration::from_secs(1)
+        // The call under test must follow a failed one, so the first call has to fail. The failure
+        // therefore lasts for `failure_duration` from the time by which the first call is made.
+        let first_call_by = Duration::from_secs(1)
             + if mode == "ask" {
                 millis(poll_interval as f64) / 4
             } else {
                 Duration::ZERO
             };
-        let reachable = Instant::now() + first + length;
-        let peer = spawn_local(run_discovery(socket, failure, reachable));
+        let reachable_at = Instant::now() + first_call_by + failure_duration;
+        let discovery = spawn_local(run_discovery(socket, failure, reachable_at));
         let _node = TestNode::start(&config);
-        // Time moves on by no more than this without the kernel having had a moment to hand on what
-        // it has.
+        // Gives the kernel real time to deliver data whenever the paused clock has advanced by
+        // 250 ms.
         spawn_local(async {
             loop {
                 sleep(Duration::from_millis(250)).await;
-                std::thread::sleep(KERNEL);
+                std::thread::sleep(KERNEL_DELAY);
             }
         });
-        let listed = peer.await.expect("discovery's part");
-        listed - reachable
+        let served_at = discovery.await.expect("the time of the list");
+        served_at - reachable_at
     })
 }
 
 #[test]
 fn after_any_failure_the_next_list_arrives_within_6_s() {
-    // Each in a thread of its own, for they wait for the kernel.
+    // Each mode and failure has its own thread, because the runs mostly wait for the kernel.
     std::thread::scope(|threads| {
         for (mode, poll_interval) in MODES {
             for failure in FAILURES {
                 threads.spawn(move || {
                     for step in 0..20 {
-                        let length = Duration::from_millis(1213) * step;
-                        let without = time_without_list(
+                        let failure_duration = Duration::from_millis(1213) * step;
+                        let elapsed = time_without_list(
                             mode,
                             poll_interval,
                             failure,
-                            length,
+                            failure_duration,
                             u64::from(step),
                         );
-                        let case = format!("{mode} {poll_interval}, {failure:?} for {length:?}");
-                        assert!(without <= LIST_DEADLINE, "{case}: {without:?}");
+                        let case =
+                            format!("{mode} {poll_interval}, {failure:?} for {failure_duration:?}");
+                        assert!(elapsed <= LIST_DEADLINE, "{case}: {elapsed:?}");
                     }
                 });
             }
@@ -102,7 +105,7 @@
     });
 }
 
-/// A watch that is open ends in place of a change; returns how long the node takes for its next
+/// Ends an open watch in place of a change, and returns how long the node takes to make its next
 /// call.
 fn time_without_watch(mode: &str, poll_interval: u64) -> Duration {
     const WATCH_LENGTH: Duration = Duration::from_millis(1500);
@@ -116,24 +119,28 @@
         );
         let _node = TestNode::start(&config);
         let (mut watch, _) = listener.accept().await.expect("a call");
-        let list = format!("HTTP/1.1 200 OK\r\n\r\n{LISTED}");
-        watch.write_all(list.as_bytes()).await.expect("a node");
+        let list = format!("HTTP/1.1 200 OK\r\n\r\n{SNAPSHOT}");
+        watch
+            .write_all(list.as_bytes())
+            .await
+            .expect("write to the node");
         sleep(WATCH_LENGTH).await;
         drop(watch);
-        let ended = Instant::now();
+        let ended_at = Instant::now();
         listener.accept().await.expect("a call");
-        ended.elapsed()
+        ended_at.elapsed()
     })
 }
 
-/// Far less than discovery needs for one call, while the calls of all nodes wait on one another.
+/// The limit of 5 ms is far less than discovery takes for one call while the calls of all nodes
+/// queue.
 #[test]
 fn a_watch_that_ends_is_reopened_at_once() {
     for (mode, poll_interval) in MODES {
-        let without = time_without_watch(mode, poll_interval);
+        let elapsed = time_without_watch(mode, poll_interval);
         assert!(
-            without < Duration::from_millis(5),
-            "{mode} {poll_interval}: {without:?}"
+            elapsed < Duration::from_millis(5),
+            "{mode} {poll_interval}: {elapsed:?}"
         );
     }
 }
--- a/crates/node/src/discovery/tests/failing_discovery.rs
+++ b/crates/node/src/discovery/tests/failing_discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery service that fails in a given way until it can be reached.
+//! A discovery service that fails in a given way until a given time.
 
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -6,61 +6,67 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Discovery works through the calls of all nodes one after the other.
-const BUSY: Duration = Duration::from_millis(400);
-/// The list that discovery has.
-pub(super) const LISTED: &str = "{\"index\":8,\"snapshot\":true,\"endpoints\":[]}\n";
-const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+/// How long discovery takes to respond, because it serves the calls of all nodes one after the
+/// other.
+const RESPONSE_DELAY: Duration = Duration::from_millis(400);
+/// The list that discovery sends.
+pub(super) const SNAPSHOT: &str = "{\"index\":8,\"snapshot\":true,\"endpoints\":[]}\n";
+const RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// How discovery fails until it can be reached.
+/// How discovery fails until it is reachable.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Failure {
-    /// Nobody listens on the port.
+    /// Nothing listens on the port.
     Refused,
-    /// Another status than 200.
-    Answered503,
-    /// The connection is closed in place of a response.
+    /// A response with status 503.
+    Status503,
+    /// The connection closes without a response.
     Reset,
     /// No response.
     Stalled,
-    /// Half of the list, and then nothing.
+    /// The start of the list, and then nothing.
     TruncatedList,
-    /// A complete list, and then nothing: the watch falls silent.
+    /// A complete list, and then nothing, not even heartbeats.
     SilentWatch,
-    /// The headers late, and then a list of which a byte comes from time to time, and which never
-    /// gets whole.
-    DrippingList,
-    /// A complete list, and then a change that never gets whole.
-    DrippingChange,
+    /// Late response headers, and then a list that trickles in byte by byte and never becomes
+    /// complete.
+    TricklingList,
+    /// A complete list, and then a delta that trickles in and never becomes complete.
+    TricklingDelta,
 }
 
-/// All ways to fail.
+/// All failures.
 pub(super) const FAILURES: [Failure; 8] = [
     Failure::Refused,
-    Failure::Answered503,
+    Failure::Status503,
     Failure::Reset,
     Failure::Stalled,
     Failure::TruncatedList,
     Failure::SilentWatch,
-    Failure::DrippingList,
-    Failure::DrippingChange,
+    Failure::TricklingList,
+    Failure::TricklingDelta,
 ];
 
 impl Failure {
-    /// Responds to a call. Returns its stream if that stays open with nothing more to come.
+    /// Responds to a call. Returns the stream if it is to stay open while nothing more is sent on
+    /// it.
     async fn respond(self, mut stream: TcpStream) -> Option<TcpStream> {
         match self {
             Failure::Reset => return None,
-            Failure::DrippingList => {
-                spawn_local(drip(stream, HEAD.to_owned(), Duration::from_millis(3800)));
+            Failure::TricklingList => {
+                spawn_local(trickle(
+                    stream,
+                    RESPONSE_HEAD.to_owned(),
+                    Duration::from_millis(3800),
+                ));
                 return None;
             }
-            Failure::DrippingChange => {
-                let start = format!("{HEAD}{}", chunk(LISTED));
-                spawn_local(drip(stream, start, Duration::ZERO));
+            Failure::TricklingDelta => {
+                let start = format!("{RESPONSE_HEAD}{}", chunk(SNAPSHOT));
+                spawn_local(trickle(stream, start, Duration::ZERO));
                 return None;
             }
-            Failure::Answered503 => {
+            Failure::Status503 => {
                 send(
                     &mut stream,
                     "HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n",
@@ -68,10 +74,14 @@
                 .await;
             }
             Failure::TruncatedList => {
-                send(&mut stream, &format!("{HEAD}{}", chunk(&LISTED[..20]))).await;
+                send(
+                    &mut stream,
+                    &format!("{RESPONSE_HEAD}{}", chunk(&SNAPSHOT[..20])),
+                )
+                .await;
             }
             Failure::SilentWatch => {
-                send(&mut stream, &format!("{HEAD}{}", chunk(LISTED))).await;
+                send(&mut stream, &format!("{RESPONSE_HEAD}{}", chunk(SNAPSHOT))).await;
             }
             Failure::Refused | Failure::Stalled => {}
         }
@@ -84,12 +94,15 @@
 }
 
 async fn send(stream: &mut TcpStream, text: &str) {
-    stream.write_all(text.as_bytes()).await.expect("a node");
+    stream
+        .write_all(text.as_bytes())
+        .await
+        .expect("write to the node");
 }
 
-/// Sends the start of a response after a delay, and then a list byte by byte, for as long as it is
-/// read but for half a minute at the most.
-async fn drip(mut stream: TcpStream, start: String, delay: Duration) {
+/// Sends the start of a response after a delay, and then a list, one byte each second for at most
+/// 30 s, until the connection closes.
+async fn trickle(mut stream: TcpStream, start: String, delay: Duration) {
     sleep(delay).await;
     let mut sent = stream.write_all(start.as_bytes()).await;
     for _ in 0..30 {
@@ -101,27 +114,27 @@
     }
 }
 
-/// Serves calls: those that come before `reachable` fail, the next one gets the list. Returns when
-/// it has.
+/// Serves calls: those before `reachable_at` fail, and the next one gets the list. Returns the time
+/// at which the list was sent.
 pub(super) async fn run_discovery(
     socket: TcpSocket,
     failure: Failure,
-    reachable: Instant,
+    reachable_at: Instant,
 ) -> Instant {
-    let mut open = Vec::new(); // what is stalled stays open
+    let mut open_streams = Vec::new(); // keeps stalled connections open
     if failure == Failure::Refused {
-        sleep_until(reachable).await; // a port that is bound and not listened on
+        sleep_until(reachable_at).await; // the port is bound, but nothing listens on it
     }
-    let listener = socket.listen(1024).expect("a port that is bound");
+    let listener = socket.listen(1024).expect("listen on the bound port");
     loop {
         let (mut stream, _) = listener.accept().await.expect("a call");
-        let mut read = [0; 1024];
-        assert!(stream.read(&mut read).await.expect("a head") > 0);
-        if Instant::now() >= reachable {
-            sleep(BUSY).await;
-            send(&mut stream, &format!("{HEAD}{}", chunk(LISTED))).await;
+        let mut request = [0; 1024];
+        assert!(stream.read(&mut request).await.expect("a request") > 0);
+        if Instant::now() >= reachable_at {
+            sleep(RESPONSE_DELAY).await;
+            send(&mut stream, &format!("{RESPONSE_HEAD}{}", chunk(SNAPSHOT))).await;
             return Instant::now();
         }
-        open.extend(failure.respond(stream).await);
+        open_streams.extend(failure.respond(stream).await);
     }
 }
--- a/crates/node/src/discovery/tests/node.rs
+++ b/crates/node/src/discovery/tests/node.rs
@@ -1,4 +1,4 @@
-//! The parts of a node that take in endpoint lists.
+//! The parts of a node that get and apply endpoint lists.
 
 use super::super::Discovery;
 use crate::clock::Clock;
@@ -11,7 +11,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::{JoinHandle, spawn_local};
 
-/// Returns the configuration of a node that keeps its list up to date in this mode.
+/// Returns the configuration of a node with this `RegistryMode` and poll interval in milliseconds.
 pub(super) fn config(address: SocketAddr, mode: &str, poll_interval: u64, seed: u64) -> Config {
     let text = format!(
         r#"{{"listen":"127.0.0.1:0","discovery":"{address}","seed":"{seed:x}",
@@ -20,17 +20,17 @@
         "Classes":[{{"Name":"read","Target":250,"GiveUp":630,"Idempotency":"free"}}],
         "Rules":{{"DrainGrace":60000,"MustAskIn":{poll_interval}}}}}}}"#
     );
-    Config::parse(&text).expect("good")
+    Config::parse(&text).expect("a valid configuration")
 }
 
-/// A driver and its discovery, until this is dropped.
+/// A running driver and its discovery. Dropping this stops them.
 pub(super) struct TestNode {
     tasks: [JoinHandle<()>; 2],
     _address_changes: watch::Sender<SocketAddr>,
 }
 
 impl TestNode {
-    /// Starts the parts that the configuration describes.
+    /// Starts a driver and discovery with this configuration.
     pub(super) fn start(config: &Config) -> Self {
         let clock = Clock::start();
         let (messages, mut inbox) = mpsc::channel(64);
