--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -109,7 +109,8 @@
     /// Returns a connection to the pool without a cool-down: one that has carried nothing since it
     /// was checked out or dialled, or only an exchange that needs no cool-down.
     ///
-    /// The attempt that has waited longest gets it. If none waits, it becomes idle.
+    /// The attempt that has waited longest gets it. If none waits, it becomes idle. An unusable
+    /// connection, or one of an earlier epoch, is closed.
     pub(crate) fn release(&self, connection: Connection) {
         let mut endpoints = self.endpoints.borrow_mut();
         let Some(slot) = endpoints.in_epoch_mut(connection.endpoint, connection.epoch) else {
--- a/crates/node/src/upstream/response.rs
+++ b/crates/node/src/upstream/response.rs
@@ -153,7 +153,7 @@
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => {
             Outcome::Rejected
         }
-        // Without the header, the request may have run, whatever the status.
+        // With any other response, the request may have run.
         _ => Outcome::Error,
     }
 }
