--- a/crates/balancer/src/action.rs
+++ b/crates/balancer/src/action.rs
@@ -1,11 +1,11 @@
-//! The actions that a [`Balancer`](crate::Balancer) asks of its host.
+//! Actions that a [`Balancer`](crate::Balancer) requests from its host.
 
 use crate::endpoint::EndpointId;
 use crate::request::RequestId;
 use crate::timer::Timer;
 use std::time::Duration;
 
-/// An action for the host to take. Actions are taken in the order given.
+/// An action for the host to execute. The host executes actions in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
@@ -14,33 +14,33 @@
         id: RequestId,
         /// The endpoint to send it to.
         endpoint: EndpointId,
-        /// How long to wait for the response.
+        /// The time after which the attempt times out.
         timeout: Duration,
     },
-    /// Give the final response: the request is shed, and the client may safely retry it.
+    /// Send the final response that the request is shed. The client may safely retry it.
     Shed {
         /// The request.
         id: RequestId,
         /// How long the client should wait before it tries again.
         retry_after: Option<Duration>,
     },
-    /// Give the final response: the request has failed, and may have run.
+    /// Send the final response that the request has failed. An endpoint may have run it.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Cancel an attempt: its end is still reported.
+    /// Cancel an attempt. The host still reports its end.
     CancelAttempt {
         /// The request.
         id: RequestId,
         /// The number of the attempt, in the order of sending, from 0.
         attempt: u32,
     },
-    /// Set a timer: an [`Event::Timer`](crate::Event::Timer) arrives when it expires.
+    /// Set a timer. The host delivers an [`Event::Timer`](crate::Event::Timer) when it expires.
     SetTimer {
         /// The time until it expires.
         after: Duration,
-        /// What it is for.
+        /// The timer that the event carries.
         timer: Timer,
     },
     /// Send a health check to an endpoint.
@@ -48,9 +48,9 @@
         /// The endpoint to check.
         endpoint: EndpointId,
     },
-    /// Subscribe to changes of the endpoint list, or end the subscription.
+    /// Subscribe to changes of the endpoint list, or unsubscribe.
     Subscribe {
-        /// Whether to subscribe or to end the subscription.
+        /// `true` to subscribe, `false` to unsubscribe.
         enabled: bool,
     },
 }
--- a/crates/balancer/src/endpoint.rs
+++ b/crates/balancer/src/endpoint.rs
@@ -1,69 +1,70 @@
-//! Endpoints as service discovery lists them, and the load they report.
+//! Entries of the endpoint list, and the load reports of endpoints.
 
 use std::time::Duration;
 
-/// The identity of an endpoint in the endpoint list. The number carries no meaning.
+/// Identifies an endpoint in the endpoint list. The number is opaque.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u64);
 
-/// An endpoint's state in the endpoint list.
+/// The state of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It accepts requests.
+    /// The endpoint accepts requests.
     Ready,
-    /// It finishes its requests and accepts no new ones.
+    /// The endpoint finishes its requests in flight and accepts no new ones.
     Draining,
-    /// It has been removed.
+    /// The endpoint has been removed from the list.
     #[default]
     Removed,
 }
 
-/// One endpoint of the endpoint list.
+/// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EndpointEntry {
     /// The id of the endpoint.
     pub id: EndpointId,
-    /// The number of the zone that it is in.
+    /// The number of its zone.
     pub zone: u8,
     /// The number of its machine type.
     pub machine_type: u8,
-    /// The number of its cell, a part of its zone.
+    /// The number of its cell. A cell is a part of a zone.
     pub cell: u16,
-    /// Whether it accepts requests.
+    /// Its state.
     pub state: EndpointState,
-    /// Its capacity, in proportion to the weights of other endpoints.
+    /// Its capacity relative to that of other endpoints.
     /// No decision uses it.
     pub weight: f32,
-    /// When it last started, on the clock of the host's events; `None` if long ago.
+    /// When it last started, on the clock by which the host times events; `None` if that was long
+    /// ago.
     pub started: Option<Duration>,
 }
 
-/// How the entries of an endpoint list event relate to the list.
+/// What the entries of an endpoint list event represent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// They are the changed ones.
+    /// The entries that have changed.
     Delta,
-    /// They are the whole list.
+    /// The complete list.
     Snapshot,
-    /// They are the whole list as it was cached before this node restarted, and may be out of date.
+    /// The complete list as it was cached before this node restarted. It may be out of date.
     Cached,
-    /// There are none: a call to discovery failed, or the subscription ended.
+    /// No entries: a call to discovery failed, or the subscription ended.
     Failed,
 }
 
-/// An endpoint's own report of its load. Reports lag and are noisy.
+/// The load that an endpoint reports about itself. Reports are delayed and noisy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// The requests in flight at the endpoint.
+    /// The number of requests in flight at the endpoint.
     pub in_flight: Option<f32>,
-    /// The requests that wait in its queue.
+    /// The number of requests that wait in its queue.
     pub queue_length: Option<f32>,
-    /// The fraction of its processors in use, from 0 to 1.
+    /// Its CPU utilisation, from 0 to 1.
     pub utilisation: Option<f32>,
     /// Its recent mean service time, in milliseconds.
     pub latency_ms: Option<f32>,
-    /// Its responses per second.
+    /// The number of responses that it sends per second.
     pub throughput: Option<f32>,
-    /// Its errors per second.
+    /// The number of errors that it returns per second.
     pub errors_per_s: Option<f32>,
 }
--- a/crates/balancer/src/endpoints.rs
+++ b/crates/balancer/src/endpoints.rs
@@ -1,4 +1,5 @@
-//! The listed endpoints and the state that a node keeps for each. Nothing here decides anything.
+//! The listed endpoints and the state that a node keeps for each. These types hold state and leave
+//! decisions to their callers.
 
 mod endpoint;
 mod endpoint_set;
--- a/crates/balancer/src/endpoints/endpoint.rs
+++ b/crates/balancer/src/endpoints/endpoint.rs
@@ -10,27 +10,27 @@
 /// A listed endpoint.
 #[derive(Default)]
 pub(crate) struct Endpoint {
-    /// The entry in the endpoint list.
+    /// Its entry in the endpoint list.
     pub entry: EndpointEntry,
-    /// When the endpoint started, on this node's own clock; `None` if long ago.
+    /// When the endpoint started, on this node's clock; `None` if that was long ago.
     pub started: Option<Duration>,
-    /// The number of this node's attempts in flight there.
+    /// The number of this node's attempts in flight at the endpoint.
     pub in_flight: u32,
     /// Whether a health check is in flight.
     pub check_in_flight: bool,
-    /// The count of sends for Join-Up-To(m).
+    /// The number of sends that Join-Up-To(m) counts.
     pub sends: SendCount,
-    /// The load that the endpoint reported last.
+    /// The load that the endpoint last reported.
     pub reported_load: Option<ReportedLoad>,
-    /// The failures and ejections of the endpoint.
+    /// Its failure rate and its ejections.
     pub health: Health,
-    /// The permit for a request while the endpoint starts.
+    /// Its permit for one request, needed during slow start.
     pub permit: Permit,
 }
 
 impl Endpoint {
-    /// Returns an endpoint that has just been listed or has restarted, with the send count that it
-    /// starts with.
+    /// Returns the state of an endpoint that is new to the list or has restarted. `send_count` is
+    /// its initial send count.
     pub(crate) fn newly_listed(
         entry: EndpointEntry,
         started: Option<Duration>,
--- a/crates/balancer/src/endpoints/endpoint_set.rs
+++ b/crates/balancer/src/endpoints/endpoint_set.rs
@@ -1,4 +1,4 @@
-//! The listed endpoints and what each concern keeps about them. Nothing here decides anything.
+//! The set of listed endpoints.
 
 use super::endpoint::Endpoint;
 use super::ring::Ring;
@@ -9,7 +9,7 @@
 pub(crate) struct EndpointSet {
     by_id: BTreeMap<EndpointId, Endpoint>,
     ready: Ring,
-    /// Whether any list so far has had endpoints.
+    /// Whether any endpoint list so far contained endpoints.
     has_ever_listed_endpoints: bool,
 }
 
@@ -28,7 +28,7 @@
         self.by_id.get(&id)
     }
 
-    /// Returns a listed endpoint, to be changed.
+    /// Returns a mutable reference to a listed endpoint.
     pub(crate) fn get_mut(&mut self, id: EndpointId) -> Option<&mut Endpoint> {
         self.by_id.get_mut(&id)
     }
@@ -43,39 +43,39 @@
         self.ready.len()
     }
 
-    /// Returns the ready endpoints in the order of the ring, from this node's place on.
+    /// Returns the ready endpoints in ring order, starting at this node's position.
     pub(crate) fn ring(&self) -> impl Iterator<Item = &Endpoint> {
         self.ready.iter().filter_map(|id| self.by_id.get(id))
     }
 
-    /// Returns the mean send count of the next so many endpoints on the ring.
-    pub(crate) fn mean_send_count(&self, endpoints: usize) -> u32 {
-        let endpoints = endpoints.min(self.ready.len());
+    /// Returns the mean send count of the first `endpoint_count` endpoints of [`ring`](Self::ring).
+    pub(crate) fn mean_send_count(&self, endpoint_count: usize) -> u32 {
+        let endpoint_count = endpoint_count.min(self.ready.len());
         let sends: u32 = self
             .ring()
-            .take(endpoints)
+            .take(endpoint_count)
             .map(|endpoint| endpoint.sends.since_idle())
             .sum();
-        sends / endpoints.max(1) as u32
+        sends / endpoint_count.max(1) as u32
     }
 
-    /// Returns whether any list so far has had endpoints. What appears after that was not listed
-    /// before.
+    /// Returns whether any endpoint list so far contained endpoints. If so, an endpoint that is not
+    /// in the set now is new to the list.
     pub(crate) fn has_ever_listed_endpoints(&self) -> bool {
         self.has_ever_listed_endpoints
     }
 
-    /// Applies entries of the list. `new_endpoint` returns the state of an endpoint that is new or
-    /// has restarted.
+    /// Applies the entries of an endpoint list. `new_endpoint` returns the initial state of an
+    /// endpoint that is new or has restarted.
     pub(crate) fn apply(
         &mut self,
         kind: ListKind,
         entries: Vec<EndpointEntry>,
         new_endpoint: impl Fn(&EndpointEntry) -> Endpoint,
     ) {
-        let is_whole_list = kind != ListKind::Delta;
+        let is_complete_list = kind != ListKind::Delta;
         self.has_ever_listed_endpoints |= !entries.is_empty();
-        if is_whole_list {
+        if is_complete_list {
             self.by_id
                 .values_mut()
                 .for_each(|endpoint| endpoint.entry.state = EndpointState::Removed);
@@ -88,7 +88,7 @@
                 EndpointState::Draining | EndpointState::Removed => self.ready.remove(entry.id),
             }
         }
-        if is_whole_list {
+        if is_complete_list {
             self.by_id
                 .retain(|_, endpoint| endpoint.entry.state != EndpointState::Removed);
         }
@@ -99,16 +99,16 @@
         entry: EndpointEntry,
         new_endpoint: impl Fn(&EndpointEntry) -> Endpoint,
     ) {
-        let known = self.by_id.remove(&entry.id).unwrap_or_default();
+        let previous = self.by_id.remove(&entry.id).unwrap_or_default();
         if entry.state == EndpointState::Removed {
             return;
         }
-        let unchanged = known.entry.id == entry.id && known.entry.started == entry.started;
-        let endpoint = if unchanged {
-            Endpoint { entry, ..known }
+        let is_same_run = previous.entry.id == entry.id && previous.entry.started == entry.started;
+        let endpoint = if is_same_run {
+            Endpoint { entry, ..previous }
         } else {
             Endpoint {
-                in_flight: known.in_flight,
+                in_flight: previous.in_flight,
                 ..new_endpoint(&entry)
             }
         };
--- a/crates/balancer/src/endpoints/health.rs
+++ b/crates/balancer/src/endpoints/health.rs
@@ -1,24 +1,25 @@
-//! The health of an endpoint, as its signals tell. What follows from it is decided in
-//! `health/outlier_ejection.rs`.
+//! The health of an endpoint: its failure rate and its ejections. `health/outlier_ejection.rs`
+//! decides when an endpoint is ejected.
 
 use crate::numeric::{SMOOTHING, smooth};
 use std::time::Duration;
 
-/// What an attempt or a health check says of an endpoint.
+/// The result of an attempt or a health check, as it affects the health of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HealthSignal {
-    /// It responded in good time.
+    /// The endpoint responded in time.
     Responded,
-    /// It responded with no time to spare.
+    /// The endpoint responded with hardly any time left for the client, or too late.
     RespondedLate,
-    /// It failed to respond.
+    /// The endpoint returned an error or no response.
     Failed,
-    /// It cannot be reached from here at all.
+    /// No connection to the endpoint could be established.
     Unreachable,
 }
 
 impl HealthSignal {
-    /// Returns how much of a failure it is, from 0 to 1.
+    /// Returns the sample that this signal contributes to failure rates, from 0 (success) to 1
+    /// (failure).
     pub(crate) fn failure_score(self) -> f64 {
         match self {
             HealthSignal::Responded => 0.0,
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Returns its weight in the endpoint's failure rate.
+    /// Returns the weight of this signal in the moving average of the endpoint's failure rate.
     fn weight(self) -> f64 {
         match self {
             HealthSignal::Unreachable => 1.0,
@@ -40,34 +41,35 @@
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Health {
     failure_rate: f64,
-    /// The end of its ejection. After that it is on probation until it responds.
+    /// When its ejection ends. It is then on probation until it responds.
     ejected_until: Option<Duration>,
-    /// Ejections in a row, halved by each response.
+    /// The number of successive ejections, halved by each response.
     ejections: u32,
 }
 
 impl Health {
-    /// Returns the moving average of its failures, from 0 to 1.
+    /// Returns the moving average of its failure scores, from 0 to 1.
     pub(crate) fn failure_rate(&self) -> f64 {
         self.failure_rate
     }
 
-    /// Returns its ejections in a row, halved by each response.
+    /// Returns the number of successive ejections, halved by each response.
     pub(crate) fn ejections(&self) -> u32 {
         self.ejections
     }
 
-    /// Returns whether it is ejected or on probation.
+    /// Returns whether the endpoint is ejected or on probation.
     pub(crate) fn is_ejected(&self) -> bool {
         self.ejected_until.is_some()
     }
 
-    /// Returns whether its ejection has ended, and it is on probation until it responds.
+    /// Returns whether the endpoint is on probation: its ejection has ended, and it has not yet
+    /// responded.
     pub(crate) fn is_on_probation(&self, now: Duration) -> bool {
         self.ejected_until.is_some_and(|until| now >= until)
     }
 
-    /// Takes a signal into its failure rate.
+    /// Updates the failure rate with a signal.
     pub(crate) fn record(&mut self, signal: HealthSignal) {
         smooth(
             &mut self.failure_rate,
@@ -76,13 +78,13 @@
         );
     }
 
-    /// Ejects it.
+    /// Ejects the endpoint until a point in time.
     pub(crate) fn eject(&mut self, until: Duration) {
         self.ejected_until = Some(until);
         self.ejections += 1;
     }
 
-    /// Ends its ejection and its probation.
+    /// Ends the ejection and the probation.
     pub(crate) fn restore(&mut self) {
         self.ejected_until = None;
         self.ejections /= 2;
--- a/crates/balancer/src/endpoints/permit.rs
+++ b/crates/balancer/src/endpoints/permit.rs
@@ -1,17 +1,19 @@
-//! An endpoint's permit for one request while it starts (`routing/slow_start.rs` issues it).
+//! The permit to send one request to an endpoint in slow start. `routing/slow_start.rs` issues
+//! permits by random draws.
 
 use std::time::Duration;
 
-/// A permit that an endpoint has or lacks, and when it was last drawn for.
+/// The permit of one endpoint, if it has one, and the time of the last random draw for it.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Permit {
     /// When the permit expires; in the past if there is none.
     expires: Duration,
+    /// When the last draw took place.
     drawn_at: Duration,
 }
 
 impl Permit {
-    /// Returns no permit. The first draw counts the time from `now`.
+    /// Returns the state without a permit. The first draw covers the time since `now`.
     pub(crate) fn none(now: Duration) -> Self {
         Permit {
             expires: Duration::ZERO,
@@ -19,7 +21,7 @@
         }
     }
 
-    /// Returns whether there is a permit.
+    /// Returns whether there is a permit that has not expired.
     pub(crate) fn is_valid(&self, now: Duration) -> bool {
         self.expires > now
     }
@@ -29,10 +31,10 @@
         now.saturating_sub(self.drawn_at)
     }
 
-    /// Records a draw. One that is won gives a permit of this lifetime, unless there is one
-    /// already.
-    pub(crate) fn record_draw(&mut self, won: bool, lifetime: Duration, now: Duration) {
-        if won && !self.is_valid(now) {
+    /// Records a draw. If `granted`, the endpoint gets a permit with this lifetime, unless it
+    /// already has a valid one.
+    pub(crate) fn record_draw(&mut self, granted: bool, lifetime: Duration, now: Duration) {
+        if granted && !self.is_valid(now) {
             self.expires = now + lifetime;
         }
         self.drawn_at = now;
--- a/crates/balancer/src/endpoints/reported_load.rs
+++ b/crates/balancer/src/endpoints/reported_load.rs
@@ -1,24 +1,25 @@
-//! The last load that an endpoint reported. `estimates/load_snapshot.rs` says how long it counts.
+//! The load that an endpoint last reported. `estimates/load_snapshot.rs` decides how long it is
+//! valid.
 
 use crate::LoadReport;
 use std::time::Duration;
 
-/// Returns the load that a report tells of: the requests in flight, or, where that is missing,
-/// those that wait in the queue.
+/// Returns the load in a report: the requests in flight or, if that value is missing, the queue
+/// length.
 pub(crate) fn reported_load(report: &LoadReport) -> Option<f64> {
     report.in_flight.or(report.queue_length).map(f64::from)
 }
 
-/// The last load that an endpoint reported.
+/// The load that an endpoint last reported.
 #[derive(Clone, Copy)]
 pub(crate) struct ReportedLoad {
-    /// The reported requests, with own sends since.
+    /// The reported number of requests, plus this node's sends since the report.
     requests: f64,
     reported_at: Duration,
 }
 
 impl ReportedLoad {
-    /// Returns a load of this many requests.
+    /// Returns a reported load of this many requests.
     pub(crate) fn new(requests: f64, reported_at: Duration) -> Self {
         ReportedLoad {
             requests,
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Returns the reported requests, with own sends since.
+    /// Returns the reported number of requests, plus this node's sends since the report.
     pub(crate) fn requests(&self) -> f64 {
         self.requests
     }
@@ -36,7 +37,7 @@
         self.reported_at
     }
 
-    /// Counts an attempt that was sent since the report.
+    /// Counts an attempt that this node has sent since the report.
     pub(crate) fn add_send(&mut self) {
         self.requests += 1.0;
     }
--- a/crates/balancer/src/endpoints/send_count.rs
+++ b/crates/balancer/src/endpoints/send_count.rs
@@ -1,17 +1,18 @@
-//! The sends to one endpoint, as Join-Up-To(m) counts them (`routing/join_up_to.rs`).
+//! The send count of one endpoint for Join-Up-To(m) (`routing/join_up_to.rs`).
 
 use std::time::Duration;
 
-/// The node's own sends to an endpoint since that last showed idle.
+/// The number of attempts that this node has sent to an endpoint since the last idle signal.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct SendCount {
     since_idle: u32,
-    /// When the endpoint last showed idle.
+    /// When the last idle signal arrived.
     idle_at: Option<Duration>,
 }
 
 impl SendCount {
-    /// Returns the count of a newly listed endpoint. At zero, all nodes would join it at once.
+    /// Returns the initial count of a newly listed endpoint. If it were zero, all nodes would send
+    /// to the endpoint at once.
     pub(crate) fn starting_at(since_idle: u32) -> Self {
         SendCount {
             since_idle,
@@ -19,12 +20,12 @@
         }
     }
 
-    /// Returns the own sends since the endpoint last showed idle.
+    /// Returns the number of sends since the last idle signal.
     pub(crate) fn since_idle(&self) -> u32 {
         self.since_idle
     }
 
-    /// Returns when the endpoint last showed idle.
+    /// Returns when the last idle signal arrived.
     pub(crate) fn idle_at(&self) -> Option<Duration> {
         self.idle_at
     }
@@ -34,14 +35,14 @@
         self.since_idle += 1;
     }
 
-    /// Resets the count after an idle signal. The `in_flight` own attempts may have arrived after
-    /// it, and stay counted. Returns whether the count fell.
+    /// Resets the count after an idle signal. This node's `in_flight` attempts may have reached the
+    /// endpoint after it sent the signal, and stay counted. Returns whether the count decreased.
     pub(crate) fn reset(&mut self, in_flight: u32, now: Duration) -> bool {
         self.idle_at = Some(now);
-        let falls = self.since_idle > in_flight;
-        if falls {
+        let decreases = self.since_idle > in_flight;
+        if decreases {
             self.since_idle = in_flight;
         }
-        falls
+        decreases
     }
 }
--- a/crates/balancer/src/estimates.rs
+++ b/crates/balancer/src/estimates.rs
@@ -1,5 +1,5 @@
-//! What a node has observed of response times, of the work of requests and of the load on
-//! endpoints. Estimates decide nothing.
+//! Estimates of response times, of the work of requests and of the load of endpoints, from what a
+//! node has observed.
 
 mod declared_work;
 mod endpoint_share;
--- a/crates/balancer/src/estimates/declared_work.rs
+++ b/crates/balancer/src/estimates/declared_work.rs
@@ -1,9 +1,9 @@
-//! The work that requests declare in their cost hints.
+//! The mean work that requests declare in their cost hints.
 
 use crate::numeric::{SLOW_SMOOTHING, Seconds};
 use std::time::Duration;
 
-/// The mean of the work that requests declare.
+/// The moving average of the work that requests declare.
 #[derive(Default)]
 pub(crate) struct DeclaredWork {
     mean: Seconds,
@@ -15,8 +15,8 @@
         (self.mean > Seconds::ZERO).then_some(self.mean)
     }
 
-    /// Records a request's declared work and returns it as a multiple of the mean; 1 for a request
-    /// that declares none.
+    /// Records the declared work of a request, and returns it as a multiple of the mean. Returns 1
+    /// if the request declares none.
     pub(crate) fn record(&mut self, declared: Option<Duration>) -> f64 {
         let work = Seconds::from(declared.unwrap_or_default());
         if work <= Seconds::ZERO {
--- a/crates/balancer/src/estimates/endpoint_share.rs
+++ b/crates/balancer/src/estimates/endpoint_share.rs
@@ -1,28 +1,30 @@
-//! The work that a warm endpoint serves for this node.
+//! The rate of work that a warm endpoint serves for this node. An endpoint is warm after its slow
+//! start.
 
 use crate::Settings;
 use crate::numeric::{DecayingRate, Seconds};
 use std::time::Duration;
 
-/// The least time over which the peak is forgotten.
+/// The minimum time constant of the peak's decay.
 const MIN_PEAK_WINDOW: Seconds = Seconds::new(1e-3);
 
-/// The work per second that a warm endpoint serves for this node, in multiples of a mean request's.
+/// The work per second that a warm endpoint serves for this node. The unit is the mean work of a
+/// request.
 pub(crate) struct WarmEndpointRate {
     /// When this node started.
     started: Duration,
-    /// Work that arrived.
+    /// The rate of work that arrived.
     arrived: DecayingRate,
-    /// Work that warm endpoints served.
+    /// The rate of work that all warm endpoints served.
     served: DecayingRate,
-    /// The most that one has served, forgotten over the slow start window.
+    /// The highest rate of one endpoint, which decays over the slow start window.
     peak: f64,
     peak_updated: Duration,
     peak_window: Seconds,
 }
 
 impl WarmEndpointRate {
-    /// Returns a share of zero.
+    /// Returns a rate of zero.
     pub(crate) fn new(settings: &Settings) -> Self {
         let rate_window = settings.rate_window();
         WarmEndpointRate {
@@ -51,26 +53,26 @@
         self.served.add(now, work);
     }
 
-    /// Returns the peak of the share. What a warm endpoint can serve does not fall with what is
-    /// served in an overload.
+    /// Returns the peak rate. Decisions use the peak because the current rate falls in an overload,
+    /// while the capacity of an endpoint does not.
     pub(crate) fn peak(&self) -> f64 {
         self.peak
     }
 
-    /// Updates the peak, with so many warm endpoints among the `sharing` endpoints that this node
-    /// uses.
-    pub(crate) fn update(&mut self, warm: usize, sharing: usize, now: Duration) {
+    /// Updates the peak. This node uses `used_count` endpoints, of which `warm_count` are warm.
+    pub(crate) fn update(&mut self, warm_count: usize, used_count: usize, now: Duration) {
         let windows = Seconds::from(now - self.peak_updated) / self.peak_window;
         let remaining = self.peak * (-windows).exp();
-        self.peak = remaining.max(self.current(warm, sharing, now));
+        self.peak = remaining.max(self.current(warm_count, used_count, now));
         self.peak_updated = now;
     }
 
-    /// Returns the present share; if no endpoint is warm, an even share of what arrives.
-    fn current(&self, warm: usize, sharing: usize, now: Duration) -> f64 {
-        if warm > 0 {
-            return self.served.per_second_since(self.started, now) / warm as f64;
+    /// Returns the current rate of one warm endpoint. If none is warm, returns the rate of arriving
+    /// work divided evenly among the endpoints that this node uses.
+    fn current(&self, warm_count: usize, used_count: usize, now: Duration) -> f64 {
+        if warm_count > 0 {
+            return self.served.per_second_since(self.started, now) / warm_count as f64;
         }
-        self.arrived.per_second_since(self.started, now) / sharing.max(1) as f64
+        self.arrived.per_second_since(self.started, now) / used_count.max(1) as f64
     }
 }
--- a/crates/balancer/src/estimates/response_times.rs
+++ b/crates/balancer/src/estimates/response_times.rs
@@ -4,7 +4,7 @@
 use crate::numeric::{SMOOTHING, Seconds};
 use std::time::Duration;
 
-/// Moving averages of the times in which endpoints serve requests.
+/// Moving averages and a median of response times.
 pub(crate) struct ResponseTimes {
     mean: Seconds,
     median: Seconds,
@@ -12,7 +12,8 @@
 }
 
 impl ResponseTimes {
-    /// Returns the estimates before any response: about half of the latency objectives.
+    /// Returns the initial estimates: means are half of the latency objective, and the median is a
+    /// quarter of the shortest one.
     pub(crate) fn new(settings: &Settings) -> Self {
         let objectives: Vec<Duration> = settings
             .classes
@@ -35,7 +36,7 @@
         self.mean
     }
 
-    /// Returns the median response time of requests of mean work.
+    /// Returns the median response time of a request with the mean work.
     pub(crate) fn median(&self) -> Seconds {
         self.median
     }
@@ -45,12 +46,13 @@
         self.mean_by_class[class]
     }
 
-    /// Records that a request of this class and relative work was served in this time.
+    /// Records the response time of a served request of this class and relative work.
     pub(crate) fn record(&mut self, class: usize, relative_work: f64, elapsed: Duration) {
         let elapsed = Seconds::from(elapsed);
         self.mean_by_class[class].smooth(elapsed, SMOOTHING / 4.0);
         self.mean.smooth(elapsed, SMOOTHING / 4.0);
-        // A stochastic median: one step up or down, whichever side of it the response fell.
+        // Estimates the median by stochastic approximation: each response moves it by one step,
+        // up if the response took longer and down if not.
         let is_above = elapsed > self.median * relative_work.max(1.0);
         let step = if is_above { SMOOTHING } else { -SMOOTHING };
         self.median = self.median * (1.0 + step / 4.0);
--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -1,4 +1,4 @@
-//! The events that a host passes to a [`Balancer`](crate::Balancer).
+//! Events that a host passes to a [`Balancer`](crate::Balancer).
 
 use crate::endpoint::{EndpointEntry, EndpointId, ListKind, LoadReport};
 use crate::request::{AttemptEnd, NewRequest, Outcome, RequestId};
@@ -8,16 +8,16 @@
 /// An event at this node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A change of the endpoint list, or a failure to read it.
+    /// The endpoint list has been received, has changed, or could not be read.
     EndpointList {
-        /// Whether the entries are the whole list or changes to it.
+        /// What the entries represent.
         kind: ListKind,
-        /// The entries of the list; empty if reading it has failed.
+        /// The entries; empty if the list could not be read.
         entries: Vec<EndpointEntry>,
     },
-    /// A client's request has arrived. The node owes it one final response.
+    /// A request has arrived from a client. The balancer ends it with exactly one final response.
     Request(NewRequest),
-    /// A streamed response has started; it can no longer be retried.
+    /// A streamed response has started. The request can no longer be retried.
     StreamStarted {
         /// The request.
         id: RequestId,
@@ -26,28 +26,28 @@
         /// The endpoint that the response comes from.
         endpoint: EndpointId,
     },
-    /// An attempt has ended. Each attempt has exactly one such event.
+    /// An attempt has ended. The host reports the end of each attempt exactly once.
     AttemptEnded(AttemptEnd),
-    /// The client has disconnected; its request needs no response any more.
+    /// The client has disconnected. Its request no longer needs a response.
     ClientDisconnected {
         /// The request.
         id: RequestId,
     },
-    /// A timer set by this node has expired.
+    /// A timer that the balancer set has expired.
     Timer(Timer),
     /// A health check has ended.
     HealthCheckEnded(HealthCheckEnd),
 }
 
-/// How a health check ended.
+/// The result of a health check.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HealthCheckEnd {
     /// The endpoint that was checked.
     pub endpoint: EndpointId,
-    /// How it ended.
+    /// The outcome of the health check.
     pub outcome: Outcome,
-    /// The time from the start of the health check to its end.
+    /// The time between its start and its end.
     pub elapsed: Duration,
-    /// The endpoint's load report, if one came with it.
+    /// The endpoint's load report, if the response carried one.
     pub report: Option<LoadReport>,
 }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,9 +1,11 @@
-//! The decisions of a load-balancing node.
+//! Decision logic of a load-balancing node.
 //!
-//! A [`Balancer`] is given the [`Event`]s of one node and returns [`Action`]s: which endpoint each
-//! request goes to, when it is retried, hedged, shed or failed. Its ordinary path is Join-Up-To(m).
-//! The crate is sans-I/O: it reads no clock, opens no socket and shares nothing with other nodes;
-//! the same events always give the same actions.
+//! A [`Balancer`] handles the [`Event`]s of one node and returns [`Action`]s. They decide which
+//! endpoint each request is sent to, and when a request is retried, hedged, shed or failed.
+//! Endpoints are normally selected by Join-Up-To(m).
+//!
+//! The crate is sans-I/O: it reads no clock, opens no sockets and shares no state with other nodes.
+//! The same settings, seed and events always produce the same actions.
 
 mod action;
 mod admission;
--- a/crates/balancer/src/numeric.rs
+++ b/crates/balancer/src/numeric.rs
@@ -1,5 +1,5 @@
-//! Numeric building blocks of estimates and decisions: moving averages, rates, token buckets, times
-//! and random numbers.
+//! Numeric types for estimates and decisions: moving averages, rates, token buckets, times and
+//! random numbers.
 
 mod decaying_rate;
 mod moving_average;
--- a/crates/balancer/src/numeric/decaying_rate.rs
+++ b/crates/balancer/src/numeric/decaying_rate.rs
@@ -1,13 +1,14 @@
-//! Rates that are forgotten exponentially.
+//! Exponentially decaying rates.
 
 use super::moving_average::SMOOTHING;
 use super::seconds::Seconds;
 use std::time::Duration;
 
-/// The least part of the window that a rate is scaled up from.
-const MIN_OBSERVED_PART: f64 = SMOOTHING;
+/// The smallest fraction of the window from which a rate is extrapolated.
+const MIN_OBSERVED_FRACTION: f64 = SMOOTHING;
 
-/// The amount per second of something, forgotten exponentially over a window.
+/// The rate of an amount per second. Past amounts decay exponentially, with the window as the time
+/// constant.
 pub(crate) struct DecayingRate {
     window: Seconds,
     sum: f64,
@@ -24,21 +25,22 @@
         }
     }
 
-    /// Counts an amount.
+    /// Adds an amount.
     pub(crate) fn add(&mut self, now: Duration, amount: f64) {
         self.sum = self.per_second(now) * self.window.as_f64() + amount;
         self.updated = now;
     }
 
-    /// Returns the rate at this time.
+    /// Returns the rate at `now`.
     pub(crate) fn per_second(&self, now: Duration) -> f64 {
         let age = Seconds::from(now - self.updated);
         self.sum * (-(age / self.window)).exp() / self.window.as_f64()
     }
 
-    /// Returns the rate of what began at `start`, of which the window may have seen only a part.
+    /// Returns the rate of a process that began at `start`, corrected for a window that it has not
+    /// filled yet.
     pub(crate) fn per_second_since(&self, start: Duration, now: Duration) -> f64 {
         let windows = Seconds::from(now - start) / self.window;
-        self.per_second(now) / (1.0 - (-windows).exp()).max(MIN_OBSERVED_PART)
+        self.per_second(now) / (1.0 - (-windows).exp()).max(MIN_OBSERVED_FRACTION)
     }
 }
--- a/crates/balancer/src/numeric/seconds.rs
+++ b/crates/balancer/src/numeric/seconds.rs
@@ -1,17 +1,18 @@
-//! Estimated times.
+//! Times as floating-point seconds.
 
 use super::moving_average::smooth;
 use std::ops::{Div, Mul, Sub};
 use std::time::Duration;
 
-/// An estimated time, or a difference of two, in seconds.
+/// An estimated time, or the difference of two times, in seconds.
 ///
-/// A moving average of [`Duration`]s would be rounded to nanoseconds at each step.
+/// Estimates use this type because a moving average of [`Duration`]s would be rounded to
+/// nanoseconds at each step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub(crate) struct Seconds(f64);
 
 impl Seconds {
-    /// No time.
+    /// Zero seconds.
     pub(crate) const ZERO: Seconds = Seconds(0.0);
 
     /// Returns a time of this many seconds.
@@ -38,7 +39,7 @@
         Seconds(self.0.max(other.0))
     }
 
-    /// Moves this exponentially weighted average towards an observation of this weight.
+    /// Updates this exponentially weighted moving average with an observation of this weight.
     pub(crate) fn smooth(&mut self, observed: Seconds, weight: f64) {
         smooth(&mut self.0, observed.0, weight);
     }
--- a/crates/balancer/src/numeric/token_bucket.rs
+++ b/crates/balancer/src/numeric/token_bucket.rs
@@ -1,13 +1,13 @@
 //! Token buckets.
 
-/// A number of tokens up to a capacity. Each use of what it limits takes a token.
+/// A bucket of tokens with a maximum capacity.
 pub(crate) struct TokenBucket {
     tokens: f64,
     capacity: f64,
 }
 
 impl TokenBucket {
-    /// Returns a bucket with so many tokens in it.
+    /// Returns a bucket that holds this many tokens.
     pub(crate) fn new(tokens: f64, capacity: f64) -> Self {
         TokenBucket { tokens, capacity }
     }
@@ -17,17 +17,17 @@
         self.tokens = (self.tokens + tokens).min(self.capacity);
     }
 
-    /// Returns whether it has so many tokens.
+    /// Returns whether the bucket holds at least this many tokens.
     pub(crate) fn has(&self, tokens: f64) -> bool {
         self.tokens >= tokens
     }
 
-    /// Takes a token, whether or not there is a whole one.
+    /// Takes a token, even if fewer than one is left; the balance may become negative.
     pub(crate) fn take(&mut self) {
         self.tokens -= 1.0;
     }
 
-    /// Takes a token and returns true if there is a whole one.
+    /// Takes a token if at least one is left, and returns whether it did.
     pub(crate) fn try_take(&mut self) -> bool {
         let has_token = self.has(1.0);
         if has_token {
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -1,13 +1,13 @@
-//! Requests as they arrive, and how attempts at them end.
+//! Requests as they arrive, and the outcomes of their attempts.
 
 use crate::endpoint::{EndpointId, LoadReport};
 use std::time::Duration;
 
-/// The identity of a request that this node has received. An id is never reused.
+/// Identifies a request that this node has received. Ids are never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A request as it arrives.
+/// A request that has just arrived.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NewRequest {
     /// The id of the request.
@@ -16,36 +16,37 @@
     pub class: usize,
     /// The index of its tenant in [`Settings::tenants`](crate::Settings::tenants).
     pub tenant: usize,
-    /// A number for what the request concerns, such as a user or an object; 0 for nothing.
+    /// Identifies what the request concerns, such as a user or an object; 0 if there is nothing.
     /// No decision uses it.
     pub key: u64,
-    /// How long the client still waits for this request.
+    /// How long the client still waits for the response.
     pub remaining: Duration,
-    /// The processor time that it is expected to take on a standard core, where that is known.
+    /// The CPU time that the request is expected to take on a standard core, if known.
     pub cost_hint: Option<Duration>,
-    /// Whether the client marks it as a retry of an earlier request of its own.
+    /// Whether the client marks the request as a retry of its own earlier request.
     pub client_retry: bool,
 }
 
-/// How an attempt or a health check ended.
+/// The outcome of an attempt or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The endpoint served the request.
     Served,
     /// The endpoint returned an error; the request may have run.
     Error,
-    /// The endpoint rejected the request before it ran: its queue is full, or it drains.
+    /// The endpoint rejected the request before running it, because its queue is full or because it
+    /// drains.
     Rejected,
-    /// No response came in time; the request may have run.
+    /// No response arrived before the timeout; the request may have run.
     TimedOut,
-    /// No connection was established in time; the request never ran.
+    /// No connection was established before the timeout; the request never ran.
     ConnectFailed,
-    /// The connection broke; the request may have run.
+    /// The connection was closed or reset before the complete response; the request may have run.
     Reset,
     /// This node cancelled the attempt; the request may have run.
     Cancelled,
-    /// The attempt was never sent: the request had ended, its deadline had passed, or it had no
-    /// attempts left.
+    /// The attempt was never sent, because the request had ended, its deadline had passed, or no
+    /// attempts were left.
     NotSent,
 }
 
@@ -59,7 +60,7 @@
     }
 }
 
-/// How an attempt ended.
+/// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnd {
     /// The id of the request.
@@ -68,13 +69,13 @@
     pub attempt: u32,
     /// The endpoint that it was sent to.
     pub endpoint: EndpointId,
-    /// How it ended.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
-    /// The time from its start to its end.
+    /// The time between its start and its end.
     pub elapsed: Duration,
-    /// Whether the request has its final response, or needs none any more; otherwise the node still
-    /// owes it one.
+    /// Whether the request has had its final response or no longer needs one. Otherwise the node
+    /// still has to send one.
     pub request_finished: bool,
-    /// The endpoint's load report, if one came with it.
+    /// The endpoint's load report, if the response carried one.
     pub report: Option<LoadReport>,
 }
--- a/crates/balancer/src/requests.rs
+++ b/crates/balancer/src/requests.rs
@@ -1,4 +1,5 @@
-//! The requests that a node has received and not finished. Nothing here decides anything.
+//! The requests that a node has received and not finished. These types hold state and leave
+//! decisions to their callers.
 
 mod attempt;
 mod pending_request;
--- a/crates/balancer/src/requests/attempt.rs
+++ b/crates/balancer/src/requests/attempt.rs
@@ -1,11 +1,11 @@
-//! Attempts at a request.
+//! The attempts of a request.
 
 use crate::{EndpointEntry, Outcome};
 use std::time::Duration;
 
-/// An attempt at a request, and how it ended.
+/// An attempt of a request, in flight or ended.
 pub(crate) struct Attempt {
-    /// The endpoint, as it was listed when the attempt started.
+    /// The endpoint's list entry at the start of the attempt.
     pub endpoint: EndpointEntry,
     /// When the attempt started.
     pub started: Duration,
@@ -13,7 +13,7 @@
     pub expires: Duration,
     /// The estimated load level of the endpoint when the attempt started.
     pub load_level: usize,
-    /// How it ended; `None` while it is in flight.
+    /// The outcome; `None` while the attempt is in flight.
     pub outcome: Option<Outcome>,
 }
 
@@ -23,7 +23,7 @@
         !self.outcome.is_some_and(Outcome::never_ran)
     }
 
-    /// Returns whether the attempt has not ended yet.
+    /// Returns whether the attempt is in flight.
     pub(crate) fn is_in_flight(&self) -> bool {
         self.outcome.is_none()
     }
--- a/crates/balancer/src/requests/pending_request.rs
+++ b/crates/balancer/src/requests/pending_request.rs
@@ -1,25 +1,25 @@
-//! Requests that await their final response or the end of an attempt.
+//! Requests that wait for their final response or for the end of an attempt.
 
 use super::attempt::Attempt;
 use super::stage::RequestStage;
 use crate::{EndpointEntry, Idempotency};
 use std::time::Duration;
 
-/// A request that awaits its final response, or the end of some attempts.
+/// A request that waits for its final response or for the end of some of its attempts.
 pub(crate) struct PendingRequest {
     /// The index of its class in the settings.
     pub class: usize,
-    /// How far it may be retried.
+    /// Whether and where it may be retried once it may have run.
     pub idempotency: Idempotency,
-    /// Its declared work as a multiple of the mean request's.
+    /// Its declared work, as a multiple of the mean declared work.
     pub relative_work: f64,
-    /// Its priority as a multiple of the mean request's.
+    /// Its priority, as a multiple of the mean priority.
     pub priority: f64,
-    /// The latest time at which a response is still of use.
+    /// The time until which a response is useful to the client.
     pub deadline: Duration,
     /// Its attempts, in the order in which they were sent.
     pub attempts: Vec<Attempt>,
-    /// How far it has come.
+    /// Its stage.
     pub stage: RequestStage,
 }
 
@@ -48,7 +48,7 @@
         self.attempts.iter().find(|attempt| attempt.may_have_run())
     }
 
-    /// Returns whether a next attempt would be a retry or a hedged request.
+    /// Returns whether an attempt was sent, so that the next one is a retry or a hedged request.
     pub(crate) fn has_attempts(&self) -> bool {
         !self.attempts.is_empty()
     }
--- a/crates/balancer/src/requests/queued_requests.rs
+++ b/crates/balancer/src/requests/queued_requests.rs
@@ -1,5 +1,5 @@
 //! The requests that are queued until health checks end. `health/active_check.rs` decides which
-//! are.
+//! requests are queued.
 
 use crate::RequestId;
 
--- a/crates/balancer/src/requests/stage.rs
+++ b/crates/balancer/src/requests/stage.rs
@@ -1,4 +1,4 @@
-//! How far a request has come on its way to its final response.
+//! The stages of a request, up to its final response.
 
 /// The stages of a request, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -14,42 +14,43 @@
 pub(crate) struct RequestStage(Stage);
 
 impl RequestStage {
-    /// Returns the stage of a new request, for which health checks may be made.
+    /// Returns the stage of a new request that may wait for health checks.
     pub(crate) fn before_health_checks() -> Self {
         RequestStage(Stage::BeforeHealthChecks)
     }
 
-    /// Returns the stage of a new request that is sent by what is known already.
+    /// Returns the stage of a new request that is routed without health checks.
     pub(crate) fn routable() -> Self {
         RequestStage(Stage::Routable)
     }
 
-    /// Returns whether health checks may still be made for the request.
+    /// Returns whether health checks may still be sent for the request.
     pub(crate) fn may_check_health(self) -> bool {
         self.0 == Stage::BeforeHealthChecks
     }
 
-    /// Returns whether the response is being streamed and the client still awaits the rest.
+    /// Returns whether a response is being streamed and the client waits for the rest of it.
     pub(crate) fn is_streaming(self) -> bool {
         self.0 == Stage::Streaming
     }
 
-    /// Returns whether the request needs no response any more.
+    /// Returns whether the request no longer needs a response.
     pub(crate) fn is_closed(self) -> bool {
         self.0 == Stage::Closed
     }
 
-    /// Ends the time for health checks: the request has waited for them, or has been sent.
+    /// Records that no more health checks are sent for the request: it has waited for them, or an
+    /// attempt has been sent.
     pub(crate) fn finish_health_checks(&mut self) {
         self.advance_to(Stage::Routable);
     }
 
-    /// The response is being streamed, and can no longer be replaced by another.
+    /// Records that a response is being streamed. It can no longer be replaced by another.
     pub(crate) fn start_streaming(&mut self) {
         self.advance_to(Stage::Streaming);
     }
 
-    /// The request needs no response any more.
+    /// Records that the request no longer needs a response.
     pub(crate) fn close(&mut self) {
         self.advance_to(Stage::Closed);
     }
--- a/crates/balancer/src/requests/stage/tests.rs
+++ b/crates/balancer/src/requests/stage/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_routable_request_has_no_time_for_health_checks() {
+fn a_routable_request_may_not_wait_for_health_checks() {
     let stage = RequestStage::routable();
     assert!(!stage.may_check_health() && !stage.is_streaming() && !stage.is_closed());
 }
--- a/crates/balancer/src/settings/error.rs
+++ b/crates/balancer/src/settings/error.rs
@@ -2,10 +2,10 @@
 
 use std::fmt;
 
-/// The reason for which a settings file cannot be used.
+/// The reason why a settings file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The file is not JSON of the expected form.
+    /// The file is not valid JSON, or its JSON does not match the schema.
     #[error(transparent)]
     Json(#[from] JsonError),
     /// `Classes` is an empty list.
@@ -13,11 +13,12 @@
     NoClasses,
 }
 
-/// JSON of another form than expected. The text names the path of the key, such as
-/// `Classes[2].Target`, and says what the parser found. It is complete, so there is no source.
+/// Text that is not valid JSON or does not match the expected type. The message names the path of
+/// the key, such as `Classes[2].Target`, and includes the parser's message. The error therefore has
+/// no [`source`](std::error::Error::source).
 #[derive(Debug)]
 pub struct JsonError {
-    /// The path of the key; empty if the text as a whole has another form.
+    /// The path of the key; empty if the error concerns the text as a whole.
     key: String,
     cause: serde_json::Error,
 }
--- a/crates/balancer/src/settings/file.rs
+++ b/crates/balancer/src/settings/file.rs
@@ -1,5 +1,5 @@
-//! The settings file: typed [`Settings`], and the names by which the rest of a node knows classes,
-//! tenants and zones.
+//! The settings file: the [`Settings`] of a balancer, and the names of classes, tenants, zones and
+//! machine types that the rest of a node uses.
 
 use super::error::SettingsError;
 use super::json::from_json;
@@ -9,12 +9,12 @@
 use super::schema::SettingsSchema;
 use std::time::Duration;
 
-/// What a node reads from its settings file.
+/// The content of a settings file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SettingsFile {
-    /// The settings of its balancer.
+    /// The settings of the balancer.
     pub settings: Settings,
-    /// The columns of a load report, in the order in which reports carry them.
+    /// The columns of load reports, in the order in which reports carry them.
     pub load_report_columns: Vec<LoadReportColumn>,
     /// The names of the classes, in the order of [`Settings::classes`].
     pub class_names: Vec<String>,
@@ -33,7 +33,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the text is not the expected JSON, or lists no class.
+    /// Returns an error if the text is not valid JSON, does not match the schema, or lists no
+    /// classes.
     pub fn parse(text: &[u8]) -> Result<Self, SettingsError> {
         let schema: SettingsSchema = from_json(text)?;
         if schema.classes.is_empty() {
--- a/crates/balancer/src/settings/load_report_column.rs
+++ b/crates/balancer/src/settings/load_report_column.rs
@@ -1,37 +1,38 @@
-//! The values that a load report may have.
+//! The columns of load reports.
 
 use crate::endpoint::LoadReport;
 use serde::Deserialize;
 
-/// A value of a load report. A settings file lists them in the order in which reports carry them.
+/// A column of a load report. A settings file lists the columns in the order in which reports carry
+/// them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub enum LoadReportColumn {
-    /// The requests in flight.
+    /// The number of requests in flight.
     #[serde(rename = "concurrent")]
     InFlight,
-    /// The requests that wait in the queue.
+    /// The number of requests that wait in the queue.
     #[serde(rename = "depth")]
     QueueLength,
-    /// The fraction of its processors in use.
+    /// The CPU utilisation, from 0 to 1.
     #[serde(rename = "load_share")]
     Utilisation,
     /// The recent mean service time, in milliseconds.
     #[serde(rename = "mean_ms")]
     LatencyMs,
-    /// The responses per second.
+    /// The number of responses per second.
     #[serde(rename = "tps")]
     Throughput,
-    /// The errors per second.
+    /// The number of errors per second.
     #[serde(rename = "err_ps")]
     ErrorsPerS,
-    /// A value that this version does not know.
+    /// A column that this version does not know.
     #[serde(other)]
     Unknown,
 }
 
 impl LoadReportColumn {
-    /// Returns the column of this name in a load report header or a health check's body: the name
-    /// that settings files use, or that of the protocol.
+    /// Returns the column with this name in a load report header or in the body of a health check
+    /// response. Each column has the name that settings files use and a name in the protocol.
     pub fn from_report_name(name: &str) -> Self {
         match name {
             "concurrent" | "inflight" => LoadReportColumn::InFlight,
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Sets this column of a report. A value that is not finite counts as missing.
+    /// Sets this column of a report. A value that is not finite is recorded as missing.
     pub fn set(self, report: &mut LoadReport, value: f32) {
         let field = match self {
             LoadReportColumn::InFlight => &mut report.in_flight,
--- a/crates/balancer/src/settings/millis.rs
+++ b/crates/balancer/src/settings/millis.rs
@@ -1,12 +1,12 @@
-//! Times as the settings and the protocols write them.
+//! Conversion of times in milliseconds, as settings and protocols express them.
 
 use std::time::Duration;
 
-/// The longest time that is told apart, in microseconds.
-const LONGEST_US: f64 = 1e18;
+/// The longest time that [`millis`] returns, in microseconds.
+const MAX_MICROS: f64 = 1e18;
 
-/// Converts a number of milliseconds to a [`Duration`], in whole microseconds. Numbers out of range
-/// are clamped, and `NaN` becomes zero.
+/// Converts milliseconds to a [`Duration`], rounded to whole microseconds. Numbers out of range are
+/// clamped, and `NaN` becomes zero.
 pub fn millis(ms: f64) -> Duration {
-    Duration::from_micros((ms * 1000.0).round().clamp(0.0, LONGEST_US) as u64)
+    Duration::from_micros((ms * 1000.0).round().clamp(0.0, MAX_MICROS) as u64)
 }
--- a/crates/balancer/src/settings/model.rs
+++ b/crates/balancer/src/settings/model.rs
@@ -1,7 +1,4 @@
-//! The settings of a node, as the balancer works with them.
-//!
-//! Times are [`Duration`]s; a point in time is the time since some fixed moment of the host's
-//! monotonic clock.
+//! The settings of a node, as the balancer uses them.
 
 use crate::numeric::Seconds;
 use std::time::Duration;
@@ -9,76 +6,79 @@
 /// The settings of one node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The number of nodes that share the traffic, this one included; at least 1.
+    /// The number of nodes that share the traffic, including this one; at least 1.
     pub node_count: u32,
-    /// This node's index among them, from 0.
+    /// The index of this node among them, from 0.
     pub node_index: u32,
-    /// The number of the zone that this node is in.
-    /// It is read from the settings, and no decision uses it.
+    /// The number of this node's zone.
+    /// No decision uses it.
     pub zone: u8,
-    /// The request classes. Events name them by index; there is at least one.
+    /// The request classes; at least one. Events refer to them by index.
     pub classes: Vec<RequestClass>,
-    /// The tenants. Events name them by index; empty where there are none.
+    /// The tenants; may be empty. Events refer to them by index.
     pub tenants: Vec<Tenant>,
-    /// The priority weight of a request beyond its tenant's quota, as a fraction of its class's.
+    /// The factor by which a request's priority weight is multiplied if the request exceeds its
+    /// tenant's quota.
     pub over_quota_weight: f64,
     /// Whether the objective counts units of work instead of requests.
     pub weight_by_work: bool,
     /// How endpoints report their load.
     pub load_reports: LoadReportSource,
-    /// What the operators permit.
+    /// Limits and permissions.
     pub limits: Limits,
-    /// The parameters of the rules that must never be broken.
+    /// The parameters of the rules that hold without exception.
     pub rules: Rules,
-    /// What is deducted from the objective, as fractions of the service.
+    /// The costs that are deducted from the objective.
     pub cost_weights: CostWeights,
-    /// The weights of the objective's parts.
+    /// The weights of the terms of the objective.
     pub objective_weights: ObjectiveWeights,
-    /// Whether the endpoint list must be polled; otherwise changes are pushed.
+    /// Whether the endpoint list must be polled. Otherwise discovery pushes changes.
     pub poll_endpoints: bool,
-    /// The least time between two rounds of events, which is the precision of timers.
+    /// The minimum time between two rounds of events. It is the precision of timers.
     pub tick: Duration,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// The time within which a response counts in full.
+    /// The time within which a response has its full weight.
     pub latency_objective: Duration,
-    /// The multiple of a request's own work by which its latency objective is longer, up to its
-    /// deadline.
+    /// The multiple of a request's cost hint by which its latency objective is extended. The
+    /// extended objective does not exceed the deadline.
     pub objective_stretch: f64,
-    /// How long a client waits in all, over all its own retries.
+    /// The total time that a client waits for a response, across all its retries.
     pub deadline: Duration,
-    /// What a response within the latency objective counts for.
+    /// The weight of a response within the latency objective.
     pub priority_weight: f64,
-    /// The fraction of the priority weight that a later response still counts for.
+    /// The weight of a later response, as a fraction of the priority weight.
     pub late_weight: f64,
-    /// How far a request may be retried once it may have run.
+    /// Whether and where a request may be retried once it may have run.
     pub idempotency: Idempotency,
     /// Whether responses are streamed, so that
     /// [`Event::StreamStarted`](crate::Event::StreamStarted) arrives.
-    /// It is read from the settings, and no decision uses it.
+    /// No decision uses it.
     pub streamed: bool,
 }
 
-/// How far a request may be retried once an attempt may have run.
+/// Whether and where a request may be retried once an attempt may have run it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may be retried freely.
+    /// It may be retried without restriction.
     Idempotent,
-    /// Endpoints drop repeats of its idempotency key, within a scope and for a time.
+    /// It carries an idempotency key. Endpoints drop repeats of the key within a scope, for a
+    /// limited time.
     Keyed {
         /// The endpoints that share their idempotency keys.
         scope: IdempotencyScope,
-        /// How long they keep a key, from the start of the first attempt that may have run.
+        /// How long they keep a key, from the start of the first attempt that may have run the
+        /// request.
         window: Duration,
     },
-    /// It must never run twice.
+    /// It must not run twice.
     NotIdempotent,
 }
 
-/// The endpoints that drop the repeats of a keyed request.
+/// The endpoints that share their idempotency keys, and so drop repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdempotencyScope {
     /// All endpoints.
@@ -92,109 +92,110 @@
 /// A tenant and its quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tenant {
-    /// The requests per second within its quota, over all nodes.
+    /// The quota in requests per second, across all nodes.
     pub quota_per_s: f64,
     /// The fraction of the service within its quota.
-    /// It is read from the settings, and no decision uses it.
+    /// No decision uses it.
     pub quota_share: f64,
 }
 
-/// Where load reports come from.
+/// How endpoints deliver their load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReportSource {
-    /// They come with responses and with the results of health checks.
+    /// With responses and with the results of health checks.
     Responses,
-    /// They come with the results of health checks only.
+    /// Only with the results of health checks.
     HealthChecks,
-    /// There are none.
+    /// Endpoints send no load reports.
     None,
 }
 
-/// What the operators permit.
+/// Limits and permissions that the operators set.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// The most attempts at a request, hedged ones included.
+    /// The maximum number of attempts per request, including hedged ones.
     pub max_attempts: u32,
-    /// Whether an attempt may be cancelled.
+    /// Whether attempts may be cancelled.
     pub allow_cancellation: bool,
-    /// Whether endpoints may be health-checked.
+    /// Whether health checks may be sent.
     pub allow_health_checks: bool,
     /// Whether two attempts of a request may be in flight at once (hedged requests).
     pub allow_parallel_attempts: bool,
-    /// The longest `Retry-After` that clients obey; `None` if they do not know that header.
+    /// The longest `Retry-After` that clients obey; `None` if they do not support that header.
     pub max_retry_after: Option<Duration>,
-    /// The time after which a connection that is not established has failed.
+    /// The time after which an attempt to connect has failed.
     pub connect_timeout: Duration,
 }
 
-/// The parameters of the rules that must never be broken.
+/// The parameters of the rules that hold without exception.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rules {
-    /// How long after learning of it a node may still send to an endpoint that drains or was
-    /// removed.
+    /// How long a node may still send to an endpoint after it learns that the endpoint drains or
+    /// was removed.
     pub drain_grace: Duration,
-    /// The fraction of its capacity that an endpoint has at least when it starts.
+    /// The minimum fraction of its full capacity that an endpoint has when it starts.
     pub initial_capacity: f64,
-    /// The time from an endpoint's start after which it has its whole capacity at the latest.
+    /// The maximum time from the start of an endpoint until it has its full capacity.
     pub slow_start_window: Duration,
-    /// The multiple of its present capacity beyond which a starting endpoint is overloaded.
+    /// The multiple of its current capacity above which an endpoint in slow start is overloaded.
     pub overload_factor: f64,
-    /// How long a starting endpoint may be overloaded before it fails.
+    /// How long an endpoint in slow start may be overloaded before it fails.
     pub overload_window: Duration,
-    /// The longest time without a poll or a subscription, where the endpoint list is polled.
+    /// The maximum time without a poll or a subscription, if the endpoint list must be polled.
     pub poll_interval: Duration,
 }
 
-/// What is deducted from the objective, as fractions of the service.
+/// The costs that are deducted from the objective, as fractions of the service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CostWeights {
-    /// The cost of one health check for each request.
+    /// The cost of one health check per request.
     pub health_check: f64,
-    /// The cost of one attempt to another zone for each request.
-    /// It is read from the settings, and no decision uses it.
+    /// The cost of one attempt to another zone per request.
+    /// No decision uses it.
     pub cross_zone: f64,
-    /// The cost of wasting as much work as was asked for.
-    /// It is read from the settings, and no decision uses it.
+    /// The cost if as much work is wasted as was requested.
+    /// No decision uses it.
     pub waste: f64,
-    /// The cost of all requests failing after their latency objective.
-    /// It is read from the settings, and no decision uses it.
+    /// The cost if all requests fail after their latency objective.
+    /// No decision uses it.
     pub late_failure: f64,
-    /// The cost of a new connection for each request and 100 open connections to each endpoint.
+    /// The cost of one new connection per request, plus that of 100 open connections per endpoint.
     pub connections: f64,
 }
 
-/// The weights of the objective's parts.
+/// The weights of the terms of the objective.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ObjectiveWeights {
-    /// The service over the whole time.
+    /// The weight of the service over the whole time.
     pub overall: f64,
-    /// The service in the worst time window.
-    /// It is read from the settings, and no decision uses it.
+    /// The weight of the service in the worst time window.
+    /// No decision uses it.
     pub worst_window: f64,
-    /// The service of the worst-served class.
+    /// The weight of the service of the worst-served class.
     pub worst_class: f64,
-    /// The service of the worst-served tenant within its quota.
-    /// It is read from the settings, and no decision uses it.
+    /// The weight of the service of the worst-served tenant within its quota.
+    /// No decision uses it.
     pub worst_tenant: f64,
 }
 
 impl Settings {
-    /// Returns whether endpoints report their load to health checks, and only to them.
+    /// Returns whether the node polls loads: health checks are allowed, and reports come only with
+    /// them.
     pub(crate) fn loads_are_polled(&self) -> bool {
         self.load_reports == LoadReportSource::HealthChecks && self.limits.allow_health_checks
     }
 
-    /// Returns the window over which rates are taken: a few of those in which a starting endpoint
-    /// is judged.
+    /// Returns the time window over which rates are averaged: three overload windows.
     pub(crate) fn rate_window(&self) -> Seconds {
-        const WINDOWS: f64 = 3.0;
+        const OVERLOAD_WINDOWS: f64 = 3.0;
         const MIN_WINDOW: Seconds = Seconds::new(1e-3);
-        Seconds::from(self.rules.overload_window).max(MIN_WINDOW) * WINDOWS
+        Seconds::from(self.rules.overload_window).max(MIN_WINDOW) * OVERLOAD_WINDOWS
     }
 }
 
 impl Default for Settings {
-    /// One node, one idempotent class, no tenants, no load reports, no health checks.
+    /// Returns settings for one node with one idempotent class, and without tenants, load reports
+    /// and health checks.
     fn default() -> Self {
         Settings {
             node_count: 1,
--- a/crates/balancer/src/settings/schema.rs
+++ b/crates/balancer/src/settings/schema.rs
@@ -1,6 +1,6 @@
-//! The JSON of a settings file, in the operators' words (`docs/glossary.md`), and what each part of
-//! it becomes in the [`Settings`]. Times are milliseconds; keys that are missing get the defaults
-//! given here.
+//! The JSON schema of a settings file, and its conversion to [`Settings`]. The keys have the
+//! operators' names; `docs/glossary.md` gives the name of each in the code. Times are in
+//! milliseconds. Missing keys get the defaults that are defined here.
 
 mod class;
 mod load_report;
@@ -19,7 +19,7 @@
 use tenant::TenantSchema;
 use weights::{GoalSchema, PricesSchema};
 
-/// The whole file.
+/// The top-level object of a settings file.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct SettingsSchema {
@@ -56,7 +56,7 @@
     quantum: f64,
 }
 
-/// What the objective counts.
+/// The unit that the objective counts.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum CountedBy {
@@ -65,7 +65,7 @@
     Work,
 }
 
-/// How changes of the endpoint list arrive.
+/// How a node learns of changes of the endpoint list.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum RegistryMode {
--- a/crates/balancer/src/settings/schema/class.rs
+++ b/crates/balancer/src/settings/schema/class.rs
@@ -1,4 +1,4 @@
-//! A class of requests (`Classes[]`).
+//! The schema of a request class (`Classes[]`).
 
 use super::one;
 use crate::settings::millis::millis;
@@ -28,7 +28,7 @@
     credit: f64,
 }
 
-/// What a repeat of a request may do.
+/// Whether a request may run more than once.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum IdempotencySchema {
--- a/crates/balancer/src/settings/schema/load_report.rs
+++ b/crates/balancer/src/settings/schema/load_report.rs
@@ -1,4 +1,4 @@
-//! How endpoints report their load (`LoadReport`).
+//! The schema of load reporting (`LoadReport`).
 
 use crate::settings::load_report_column::LoadReportColumn;
 use crate::settings::model::LoadReportSource;
@@ -12,7 +12,7 @@
     pub via: ViaSchema,
 }
 
-/// What load reports come with.
+/// How endpoints deliver their load reports.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ViaSchema {
--- a/crates/balancer/src/settings/schema/permissions.rs
+++ b/crates/balancer/src/settings/schema/permissions.rs
@@ -1,10 +1,10 @@
-//! What the settings permit (`Permissions`).
+//! The schema of limits and permissions (`Permissions`).
 
 use crate::settings::millis::millis;
 use crate::settings::model::Limits;
 use serde::Deserialize;
 
-/// What the settings permit.
+/// Limits and permissions that the operators set.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct PermissionsSchema {
--- a/crates/balancer/src/settings/schema/rules.rs
+++ b/crates/balancer/src/settings/schema/rules.rs
@@ -1,4 +1,4 @@
-//! The parameters of the rules that must never be broken (`Rules`).
+//! The schema of the parameters of rules that hold without exception (`Rules`).
 
 use crate::settings::millis::millis;
 use crate::settings::model::Rules;
--- a/crates/balancer/src/settings/schema/tenant.rs
+++ b/crates/balancer/src/settings/schema/tenant.rs
@@ -1,9 +1,9 @@
-//! A tenant (`Projects[]`).
+//! The schema of a tenant (`Projects[]`).
 
 use crate::settings::model::Tenant;
 use serde::Deserialize;
 
-/// A tenant.
+/// A tenant and its quota.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct TenantSchema {
--- a/crates/balancer/src/settings/schema/weights.rs
+++ b/crates/balancer/src/settings/schema/weights.rs
@@ -1,9 +1,10 @@
-//! What the objective is made of (`Goal`) and what is deducted from it (`Prices`).
+//! The schema of the objective: the weights of its terms (`Goal`) and the costs that are deducted
+//! from it (`Prices`).
 
 use crate::settings::model::{CostWeights, ObjectiveWeights};
 use serde::Deserialize;
 
-/// What is deducted from the objective.
+/// The costs that are deducted from the objective.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct PricesSchema {
@@ -27,7 +28,7 @@
     }
 }
 
-/// The parts of the objective.
+/// The weights of the terms of the objective.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct GoalSchema {
--- a/crates/balancer/src/timer.rs
+++ b/crates/balancer/src/timer.rs
@@ -1,12 +1,13 @@
-//! The timers of a [`Balancer`](crate::Balancer).
+//! Timers that a [`Balancer`](crate::Balancer) sets.
 
 use crate::request::RequestId;
 
-/// What a timer is for. It comes back with [`Event::Timer`](crate::Event::Timer) when it expires.
+/// The purpose of a timer, which [`Event::Timer`](crate::Event::Timer) carries when it expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Timer {
-    /// A decision on this request: its deadline, its next attempt, or the end of its wait.
+    /// Decide on this request again: at its deadline, when a further attempt is due, or when its
+    /// wait for health checks or an eligible endpoint is over.
     Request(RequestId),
-    /// The next look at the schedule of calls to discovery.
+    /// Check whether a call to discovery is due.
     EndpointPolling,
 }
