--- a/crates/balancer-simulation/src/actions.rs
+++ b/crates/balancer-simulation/src/actions.rs
@@ -1,8 +1,8 @@
-//! Questions that tests ask about a list of actions.
+//! Queries on lists of actions.
 
 use ottertiller_balancer::{Action, EndpointId, RequestId};
 
-/// Returns the numbers of the endpoints at which attempts start, in the order of the attempts.
+/// Returns the number of the endpoint of each attempt that starts, in order.
 pub fn endpoints_attempted(actions: &[Action]) -> Vec<u64> {
     let attempted = |action: &Action| match action {
         Action::StartAttempt { endpoint, .. } => Some(endpoint.0),
@@ -40,7 +40,7 @@
         .count()
 }
 
-/// Counts the calls for the endpoint list.
+/// Counts the calls to discovery for the endpoint list.
 pub fn count_polls(actions: &[Action]) -> usize {
     actions
         .iter()
@@ -48,14 +48,14 @@
         .count()
 }
 
-/// Returns whether a request is shed.
+/// Returns whether any request is shed.
 pub fn is_shed(actions: &[Action]) -> bool {
     actions
         .iter()
         .any(|action| matches!(action, Action::Shed { .. }))
 }
 
-/// Returns whether a request fails.
+/// Returns whether any request fails.
 pub fn is_failed(actions: &[Action]) -> bool {
     actions
         .iter()
--- a/crates/balancer-simulation/src/fixtures.rs
+++ b/crates/balancer-simulation/src/fixtures.rs
@@ -1,4 +1,4 @@
-//! Settings, endpoints and load reports that tests have in common.
+//! Settings, endpoint entries and load reports that tests share.
 
 use ottertiller_balancer::{
     EndpointEntry, EndpointId, EndpointState, Idempotency, IdempotencyScope, LoadReport,
@@ -10,32 +10,32 @@
 pub const LATENCY_OBJECTIVE: Duration = Duration::from_millis(400);
 /// The deadline of all classes.
 pub const DEADLINE: Duration = Duration::from_millis(1000);
-/// The window of keyed classes.
+/// How long endpoints keep the idempotency keys of keyed classes.
 pub const DEDUPLICATION_WINDOW: Duration = Duration::from_millis(300);
 
-/// The classes of [`settings`].
+/// The indexes of the classes of [`settings`].
 pub mod classes {
-    /// Requests that may run more than once.
+    /// The class of requests that may run more than once.
     pub const IDEMPOTENT: usize = 0;
-    /// Requests that must never run twice.
+    /// The class of requests that must not run twice.
     pub const NOT_IDEMPOTENT: usize = 1;
-    /// Requests with an idempotency key that holds within a zone.
+    /// The class of requests whose idempotency keys are shared within a zone.
     pub const KEYED_IN_ZONE: usize = 2;
-    /// Requests with an idempotency key that holds within a cell.
+    /// The class of requests whose idempotency keys are shared within a cell.
     pub const KEYED_IN_CELL: usize = 3;
-    /// Requests with an idempotency key that holds at all endpoints.
+    /// The class of requests whose idempotency keys are shared by all endpoints.
     pub const KEYED_EVERYWHERE: usize = 4;
-    /// How many there are.
+    /// The number of classes.
     pub const COUNT: usize = 5;
 }
 
-/// Returns a time in milliseconds.
+/// Returns a duration of this many milliseconds.
 pub fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
 }
 
-/// Returns the entry of a ready endpoint that started long ago. It is in zone and cell `number %
-/// 3`.
+/// Returns the list entry of a ready endpoint that started long ago. Its zone and its cell are
+/// `number % 3`.
 pub fn entry(number: u64) -> EndpointEntry {
     EndpointEntry {
         id: EndpointId(number),
@@ -47,7 +47,7 @@
     }
 }
 
-/// Returns the entry of an endpoint that started at this time.
+/// Returns the list entry of a ready endpoint that started at `started`.
 pub fn started_entry(number: u64, started: Duration) -> EndpointEntry {
     EndpointEntry {
         started: Some(started),
@@ -55,7 +55,7 @@
     }
 }
 
-/// Returns the entry of an endpoint that drains.
+/// Returns the list entry of a draining endpoint.
 pub fn draining_entry(number: u64) -> EndpointEntry {
     EndpointEntry {
         state: EndpointState::Draining,
@@ -63,7 +63,7 @@
     }
 }
 
-/// Returns a class with the latency objective and deadline of all classes.
+/// Returns a request class with [`LATENCY_OBJECTIVE`] and [`DEADLINE`].
 pub fn class(idempotency: Idempotency) -> RequestClass {
     RequestClass {
         latency_objective: LATENCY_OBJECTIVE,
@@ -99,7 +99,7 @@
     settings
 }
 
-/// Returns settings in which load reports come with health checks only.
+/// Returns [`settings`] in which load reports come only with health checks.
 pub fn health_check_settings() -> Settings {
     let mut settings = settings();
     settings.load_reports = LoadReportSource::HealthChecks;
@@ -108,7 +108,7 @@
     settings
 }
 
-/// Returns settings in which load reports come with responses.
+/// Returns [`settings`] in which load reports come with responses.
 pub fn response_report_settings() -> Settings {
     Settings {
         load_reports: LoadReportSource::Responses,
@@ -116,7 +116,7 @@
     }
 }
 
-/// Returns a load report that says only how many requests an endpoint has in flight.
+/// Returns a load report that contains only the number of requests in flight.
 pub fn in_flight_report(in_flight: f32) -> LoadReport {
     LoadReport {
         in_flight: Some(in_flight),
--- a/crates/balancer-simulation/src/fleet.rs
+++ b/crates/balancer-simulation/src/fleet.rs
@@ -1,6 +1,6 @@
-//! A simulation of many nodes before the same endpoints. The balancers share nothing but the
-//! endpoints that they send to. Events are played in the order of their time, and random numbers
-//! are drawn from a seed.
+//! A simulation of many nodes that send to the same endpoints. Their balancers share no state.
+//! Events are processed in the order of their time, and all random numbers are drawn from one
+//! seeded generator.
 
 mod action_digest;
 mod attempts;
@@ -18,53 +18,53 @@
 use ottertiller_balancer::{EndpointEntry, EndpointId, EndpointState, Event, Settings};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::SeedableRng;
-use schedule::{Due, Schedule, Scheduled};
+use schedule::{NodeEvent, Schedule, ScheduledEvent};
 use std::collections::BTreeMap;
 use std::ops::Range;
 use std::time::Duration;
 
-/// The time that a node's call for the endpoint list takes.
+/// The duration of a call to discovery.
 const LIST_DELAY: Duration = Duration::from_millis(20);
-/// The time that a health check takes.
+/// The duration of a health check.
 const HEALTH_CHECK_DELAY: Duration = Duration::from_millis(1);
 
-/// The parts of a fleet, and the requests that it is sent.
+/// The parameters of a fleet simulation.
 pub struct FleetConfig<'a> {
-    /// The settings of all nodes; their number and indexes are set by the simulation.
+    /// The settings of all nodes. The simulation sets the node count and the node indexes.
     pub settings: &'a Settings,
     /// The number of nodes.
     pub nodes: u32,
-    /// The number of endpoints. They started long ago.
+    /// The number of endpoints. All of them started long ago.
     pub endpoints: u64,
-    /// Requests a second that such an endpoint can do.
+    /// The capacity of a warm endpoint, in requests per second.
     pub capacity: f64,
-    /// Requests a second in all. Some nodes see several times the mean.
+    /// The total rate of requests per second. Some nodes get several times the mean.
     pub rate: f64,
     /// The seed of all random numbers.
     pub seed: u64,
-    /// Whether endpoints, discovery and clients have faults, requests are of all classes and
-    /// tenants, and health checks are answered.
+    /// Whether endpoints, discovery and clients have faults. If so, requests belong to all classes
+    /// and tenants, and endpoints respond to health checks.
     pub faults: bool,
 }
 
 /// A simulation of a fleet.
 pub struct FleetSimulation {
-    /// The virtual time.
+    /// The current virtual time.
     pub now: Duration,
     settings: Settings,
     capacity: f64,
     nodes: Vec<SimulatedNode>,
-    /// All endpoints, also those that drain.
+    /// All endpoints, including draining ones.
     pub endpoints: BTreeMap<EndpointId, SimulatedEndpoint>,
     schedule: Schedule,
     rng: Pcg32,
-    /// Requests sent so far.
+    /// The number of requests sent so far.
     pub requests: usize,
-    /// Requests served so far.
+    /// The number of requests served so far.
     pub served: usize,
     faults: bool,
-    /// The milliseconds by which the wall clock, which listed start times are read from, is ahead
-    /// of the nodes' own clocks.
+    /// The milliseconds by which the wall clock is ahead of the nodes' own clocks. Start times in
+    /// endpoint lists are wall clock times.
     pub clock_step_ms: i64,
     digest: ActionDigest,
 }
@@ -97,18 +97,18 @@
             fleet.deliver_snapshot(node);
             fleet.schedule_arrival(node);
         }
-        // Faults begin when all nodes have their first list.
+        // Faults start only after all nodes have received their first list.
         fleet.faults = config.faults;
         fleet
     }
 
-    /// Returns the number and the digest of all actions so far.
+    /// Returns the number of all actions so far and their digest.
     pub fn recorded_actions(&self) -> RecordedActions {
         self.digest.finish()
     }
 
     /// Returns the highest number of requests by which all nodes together exceeded the limit of an
-    /// endpoint in slow start; it is not above 0 if they kept to the limits.
+    /// endpoint in slow start. It is at most 0 if no limit was exceeded.
     pub fn max_limit_excess(&self) -> f64 {
         self.endpoints
             .values()
@@ -116,7 +116,7 @@
             .fold(f64::MIN, f64::max)
     }
 
-    /// Replaces endpoints by ones that start now, and notifies all nodes.
+    /// Drains some endpoints, adds others that start now, and sends the new list to all nodes.
     ///
     /// # Panics
     ///
@@ -129,7 +129,7 @@
             let endpoint = self
                 .endpoints
                 .get_mut(&EndpointId(id))
-                .expect("an endpoint");
+                .expect("the endpoint to remove was never added");
             endpoint.entry.state = EndpointState::Draining;
         }
         for node in 0..self.nodes.len() {
@@ -137,20 +137,24 @@
         }
     }
 
-    /// Restarts the nodes one after the other within that time.
+    /// Schedules a restart of each node, one after the other, spread evenly over the time `over`.
     pub fn restart_nodes(&mut self, over: Duration) {
         let count = self.nodes.len() as u32;
         for node in 0..count {
-            self.schedule(self.now + over / count * node, node as usize, Due::Restart);
+            self.schedule(
+                self.now + over / count * node,
+                node as usize,
+                NodeEvent::Restart,
+            );
         }
     }
 
-    /// Plays the events of that time.
+    /// Advances the virtual time, and processes the events that are due.
     pub fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         while let Some((at, scheduled)) = self.schedule.next_until(end) {
             self.now = at;
-            self.play(scheduled);
+            self.process(scheduled);
         }
         self.now = end;
     }
@@ -160,33 +164,46 @@
             .insert(entry.id, SimulatedEndpoint::new(entry, self.now));
     }
 
-    /// Schedules something for the present run of a node.
-    fn schedule(&mut self, at: Duration, node: usize, due: Due) {
-        let run = self.nodes[node].run;
-        self.schedule.add(at, Scheduled { node, run, due });
+    /// Schedules an event for a node. Unless it is an arrival or a restart, it is discarded if the
+    /// node restarts first.
+    fn schedule(&mut self, at: Duration, node: usize, event: NodeEvent) {
+        let incarnation = self.nodes[node].incarnation;
+        let scheduled = ScheduledEvent {
+            node,
+            incarnation,
+            event,
+        };
+        self.schedule.add(at, scheduled);
     }
 
     fn schedule_arrival(&mut self, node: usize) {
         let after = Duration::from_secs_f64(self.draw_exponential() / self.nodes[node].rate);
-        self.schedule(self.now + after, node, Due::Arrival);
+        self.schedule(self.now + after, node, NodeEvent::RequestArrival);
     }
 
-    fn play(&mut self, Scheduled { node, run, due }: Scheduled) {
-        match due {
-            Due::Arrival => {
+    fn process(&mut self, scheduled: ScheduledEvent) {
+        let ScheduledEvent {
+            node,
+            incarnation,
+            event,
+        } = scheduled;
+        match event {
+            NodeEvent::RequestArrival => {
                 self.schedule_arrival(node);
                 self.request(node);
             }
-            Due::Restart => self.restart(node),
-            _ if run != self.nodes[node].run => {}
-            Due::Timer(timer) => self.deliver(node, Event::Timer(timer)),
-            Due::AttemptEnd(end) => self.end_attempt(node, end),
-            Due::HealthCheckEnd { endpoint, started } => {
+            NodeEvent::Restart => self.restart(node),
+            _ if incarnation != self.nodes[node].incarnation => {}
+            NodeEvent::Timer(timer) => self.deliver(node, Event::Timer(timer)),
+            NodeEvent::AttemptEnd(end) => self.end_attempt(node, end),
+            NodeEvent::HealthCheckEnd { endpoint, started } => {
                 self.end_health_check(node, endpoint, started);
             }
-            Due::ListFailed => self.deliver_list_failure(node),
-            Due::ListSnapshot => self.deliver_snapshot(node),
-            Due::ClientDisconnect { id } => self.deliver(node, Event::ClientDisconnected { id }),
+            NodeEvent::ListFailed => self.deliver_list_failure(node),
+            NodeEvent::ListSnapshot => self.deliver_snapshot(node),
+            NodeEvent::ClientDisconnect { id } => {
+                self.deliver(node, Event::ClientDisconnected { id });
+            }
         }
     }
 }
--- a/crates/balancer-simulation/src/fleet/action_digest.rs
+++ b/crates/balancer-simulation/src/fleet/action_digest.rs
@@ -1,19 +1,19 @@
-//! A digest of all actions of a fleet, with their nodes and their times in microseconds.
+//! A digest of all actions of a fleet, including the node and the time in microseconds of each.
 
 use ottertiller_balancer::{Action, Timer};
 use sha2::{Digest, Sha256};
 use std::fmt;
 use std::time::Duration;
 
-/// The bytes of the digest that are kept.
+/// The number of bytes of the SHA-256 digest that are recorded.
 const DIGEST_BYTES: usize = 8;
 
-/// The number of recorded actions, and the first bytes of their digest in hexadecimal.
+/// The number of the actions of a fleet, and their digest.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordedActions {
     /// The number of actions.
     pub count: usize,
-    /// The first bytes of the digest of all actions, in hexadecimal.
+    /// The first 8 bytes of the SHA-256 digest of the actions, in hexadecimal.
     pub digest: String,
 }
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// Computes a digest as actions are added.
+/// Computes the digest incrementally.
 #[derive(Default)]
 pub(super) struct ActionDigest {
     digest: Sha256,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Returns the number and the digest of the actions that were added.
+    /// Returns the number of the actions that were added and their digest.
     pub(super) fn finish(&self) -> RecordedActions {
         let digest = self.digest.clone().finalize();
         let hex = digest
@@ -70,7 +70,7 @@
     }
 }
 
-/// Returns the number of a timer on the simulator's wire.
+/// Returns the number of a timer in the simulator's wire protocol.
 fn timer_number(timer: Timer) -> u64 {
     match timer {
         Timer::Request(id) => id.0,
--- a/crates/balancer-simulation/src/fleet/attempts.rs
+++ b/crates/balancer-simulation/src/fleet/attempts.rs
@@ -1,7 +1,7 @@
 //! The attempts of a fleet's requests.
 
 use super::FleetSimulation;
-use super::schedule::{Due, ScheduledAttemptEnd};
+use super::schedule::{NodeEvent, ScheduledAttemptEnd};
 use ottertiller_balancer::{
     AttemptEnd, EndpointId, Event, LoadReport, LoadReportSource, Outcome, RequestId,
 };
@@ -9,7 +9,8 @@
 
 pub(super) struct Attempt {
     endpoint: EndpointId,
-    /// Whether it has ended: an attempt that was cancelled ends only once.
+    /// Whether the attempt has ended. A cancelled attempt has two scheduled ends, and the first one
+    /// counts.
     ended: bool,
 }
 
@@ -26,8 +27,8 @@
         let endpoint = self
             .endpoints
             .get_mut(&to)
-            .expect("an endpoint that is listed");
-        let mut ends = endpoint.accept(self.now, work, self.capacity, &self.settings.rules);
+            .expect("the attempt's endpoint was never added");
+        let mut ends_at = endpoint.accept(self.now, work, self.capacity, &self.settings.rules);
         let mut outcome = Outcome::Served;
         let attempts = self.nodes[node].attempts.entry(id).or_default();
         let attempt = attempts.len();
@@ -36,16 +37,16 @@
             ended: false,
         });
         if let Some(fault) = self.draw_attempt_fault(to) {
-            (ends, outcome) = (self.now + fault.after, fault.outcome);
+            (ends_at, outcome) = (self.now + fault.after, fault.outcome);
         }
-        let times_out = self.now + timeout;
-        if ends > times_out {
-            (ends, outcome) = (times_out, Outcome::TimedOut);
+        let times_out_at = self.now + timeout;
+        if ends_at > times_out_at {
+            (ends_at, outcome) = (times_out_at, Outcome::TimedOut);
         }
         self.schedule(
-            ends,
+            ends_at,
             node,
-            Due::AttemptEnd(ScheduledAttemptEnd {
+            NodeEvent::AttemptEnd(ScheduledAttemptEnd {
                 id,
                 attempt,
                 outcome,
@@ -74,7 +75,7 @@
         self.served += usize::from(served);
         self.endpoints
             .get_mut(&endpoint)
-            .expect("an endpoint")
+            .expect("the attempt's endpoint was never added")
             .served += usize::from(served);
         let reports = self.settings.load_reports == LoadReportSource::Responses;
         let end = AttemptEnd {
@@ -89,7 +90,7 @@
         self.deliver(node, Event::AttemptEnded(end));
     }
 
-    /// Returns what an endpoint reports of its load.
+    /// Returns the current load report of an endpoint.
     pub(super) fn load_report(&self, endpoint: EndpointId) -> LoadReport {
         self.endpoints[&endpoint].load_report(self.now, self.capacity)
     }
--- a/crates/balancer-simulation/src/fleet/nodes.rs
+++ b/crates/balancer-simulation/src/fleet/nodes.rs
@@ -1,9 +1,9 @@
-//! The nodes of a fleet: their starts, the events that they handle, and the actions that follow.
+//! The nodes of a fleet: starts and restarts, the delivery of events, and the execution of actions.
 
 use super::attempts::Attempt;
-use super::schedule::{Due, ScheduledAttemptEnd};
+use super::schedule::{NodeEvent, ScheduledAttemptEnd};
 use super::{FleetSimulation, HEALTH_CHECK_DELAY, LIST_DELAY};
-use crate::virtual_time::SHORTEST_TIMER;
+use crate::virtual_time::MIN_TIMER_DELAY;
 use ottertiller_balancer::{
     Action, Balancer, EndpointEntry, Event, ListKind, NewRequest, Outcome, RequestId, Settings,
 };
@@ -11,21 +11,21 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Every tenth node is busy and gets several times the requests of the others.
+/// One node in this many gets [`BUSY_NODE_WEIGHT`] times the requests of the others.
 const BUSY_NODE_INTERVAL: u32 = 10;
 const BUSY_NODE_WEIGHT: f64 = 4.0;
 
 pub(super) struct SimulatedNode {
     pub(super) balancer: Balancer,
-    /// How often it was restarted. What was scheduled in an earlier run is void.
-    pub(super) run: u32,
+    /// The number of restarts. Events that were scheduled in an earlier incarnation are discarded.
+    pub(super) incarnation: u32,
     pub(super) attempts: BTreeMap<RequestId, Vec<Attempt>>,
-    /// Its requests a second.
+    /// The rate of requests that it gets, per second.
     pub(super) rate: f64,
 }
 
 impl FleetSimulation {
-    /// Starts nodes that get `rate` requests a second in all.
+    /// Starts nodes that get `rate` requests per second in total.
     pub(super) fn start_nodes(&mut self, count: u32, rate: f64) {
         let weights: Vec<f64> = (0..count)
             .map(|node| {
@@ -42,7 +42,7 @@
             let rate = rate * weight / total;
             self.nodes.push(SimulatedNode {
                 balancer,
-                run: 0,
+                incarnation: 0,
                 attempts: BTreeMap::new(),
                 rate,
             });
@@ -57,17 +57,17 @@
         Balancer::new(settings, self.rng.next_u64())
     }
 
-    /// Restarts a node, which forgets everything and gets the endpoint list anew.
+    /// Restarts a node, which loses its state and receives the endpoint list again.
     pub(super) fn restart(&mut self, node: usize) {
         let balancer = self.start_balancer(node);
         let restarted = &mut self.nodes[node];
         restarted.balancer = balancer;
-        restarted.run += 1;
+        restarted.incarnation += 1;
         restarted.attempts.clear();
         self.deliver_snapshot(node);
     }
 
-    /// Sends a node a request.
+    /// Sends a request to a node.
     pub(super) fn request(&mut self, node: usize) {
         self.requests += 1;
         let id = RequestId(self.requests as u64);
@@ -79,20 +79,20 @@
             ..NewRequest::default()
         };
         if self.faults {
-            self.vary_request(&mut request);
+            self.randomize_request(&mut request);
         }
         self.deliver(node, Event::Request(request));
         if self.faults {
-            self.maybe_disconnect(node, id);
+            self.maybe_schedule_disconnect(node, id);
         }
     }
 
-    /// Delivers the present endpoint list to a node.
+    /// Delivers the current endpoint list to a node.
     pub(super) fn deliver_snapshot(&mut self, node: usize) {
         let entries = self
             .endpoints
             .values()
-            .map(|endpoint| self.listed(endpoint.entry))
+            .map(|endpoint| self.with_wall_clock_start(endpoint.entry))
             .collect();
         self.deliver(
             node,
@@ -103,7 +103,7 @@
         );
     }
 
-    /// Delivers the failure of a node's call for the endpoint list.
+    /// Reports to a node that its call to discovery has failed.
     pub(super) fn deliver_list_failure(&mut self, node: usize) {
         self.deliver(
             node,
@@ -114,8 +114,8 @@
         );
     }
 
-    /// Returns an entry with its start time as the wall clock shows it.
-    fn listed(&self, entry: EndpointEntry) -> EndpointEntry {
+    /// Returns an entry with its start time converted to the wall clock.
+    fn with_wall_clock_start(&self, entry: EndpointEntry) -> EndpointEntry {
         let step = Duration::from_millis(self.clock_step_ms.unsigned_abs());
         let shift = |started: Duration| match self.clock_step_ms {
             0.. => started + step,
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Lets a node handle an event, and executes its actions.
+    /// Delivers an event to a node, and executes the actions that it returns.
     pub(super) fn deliver(&mut self, node: usize, event: Event) {
         let mut actions = Vec::new();
         self.nodes[node]
@@ -149,8 +149,8 @@
                 self.start_attempt(node, id, endpoint, timeout);
             }
             Action::SetTimer { after, timer } => {
-                let at = self.now + after.max(SHORTEST_TIMER);
-                self.schedule(at, node, Due::Timer(timer));
+                let at = self.now + after.max(MIN_TIMER_DELAY);
+                self.schedule(at, node, NodeEvent::Timer(timer));
             }
             Action::CancelAttempt { id, attempt } => {
                 let end = ScheduledAttemptEnd {
@@ -159,18 +159,18 @@
                     outcome: Outcome::Cancelled,
                     started: self.now,
                 };
-                self.schedule(self.now, node, Due::AttemptEnd(end));
+                self.schedule(self.now, node, NodeEvent::AttemptEnd(end));
             }
             Action::HealthCheck { endpoint } if self.faults => {
-                let due = Due::HealthCheckEnd {
+                let event = NodeEvent::HealthCheckEnd {
                     endpoint,
                     started: self.now,
                 };
-                self.schedule(self.now + HEALTH_CHECK_DELAY, node, due);
+                self.schedule(self.now + HEALTH_CHECK_DELAY, node, event);
             }
             Action::Subscribe { enabled: true } if self.faults => {
-                let due = self.draw_list_outcome();
-                self.schedule(self.now + LIST_DELAY, node, due);
+                let event = self.draw_list_outcome();
+                self.schedule(self.now + LIST_DELAY, node, event);
             }
             _ => {}
         }
--- a/crates/balancer-simulation/src/fleet/schedule.rs
+++ b/crates/balancer-simulation/src/fleet/schedule.rs
@@ -1,5 +1,5 @@
-//! The events to come, in the order of their time. Events of the same time are in the order in
-//! which they were added.
+//! The queue of future events, in the order of their time. Events with the same time keep the order
+//! in which they were added.
 
 use ottertiller_balancer::{EndpointId, Outcome, RequestId, Timer};
 use std::cmp::Reverse;
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 /// An event at a node.
-pub(super) enum Due {
-    Arrival,
+pub(super) enum NodeEvent {
+    RequestArrival,
     Timer(Timer),
     AttemptEnd(ScheduledAttemptEnd),
     Restart,
@@ -23,7 +23,7 @@
     },
 }
 
-/// The end of an attempt at a node.
+/// The scheduled end of an attempt.
 pub(super) struct ScheduledAttemptEnd {
     pub(super) id: RequestId,
     pub(super) attempt: usize,
@@ -31,34 +31,39 @@
     pub(super) started: Duration,
 }
 
-/// An event at a node, in one run of it.
-pub(super) struct Scheduled {
+/// An event for one incarnation of a node.
+pub(super) struct ScheduledEvent {
     pub(super) node: usize,
-    pub(super) run: u32,
-    pub(super) due: Due,
+    pub(super) incarnation: u32,
+    pub(super) event: NodeEvent,
 }
 
-/// The events to come.
+/// The queue of future events.
 #[derive(Default)]
 pub(super) struct Schedule {
+    /// The time and the sequence number of each event, the earliest first.
     times: BinaryHeap<Reverse<(Duration, u64)>>,
-    scheduled: BTreeMap<u64, Scheduled>,
-    added: u64,
+    /// The events by sequence number.
+    events: BTreeMap<u64, ScheduledEvent>,
+    last_sequence_number: u64,
 }
 
 impl Schedule {
     /// Adds an event at this time.
-    pub(super) fn add(&mut self, at: Duration, scheduled: Scheduled) {
-        self.added += 1;
-        self.times.push(Reverse((at, self.added)));
-        self.scheduled.insert(self.added, scheduled);
+    pub(super) fn add(&mut self, at: Duration, event: ScheduledEvent) {
+        self.last_sequence_number += 1;
+        self.times.push(Reverse((at, self.last_sequence_number)));
+        self.events.insert(self.last_sequence_number, event);
     }
 
     /// Removes and returns the next event and its time, unless it is after `end`.
-    pub(super) fn next_until(&mut self, end: Duration) -> Option<(Duration, Scheduled)> {
+    pub(super) fn next_until(&mut self, end: Duration) -> Option<(Duration, ScheduledEvent)> {
         let Reverse((at, number)) = self.times.peek().copied().filter(|next| next.0.0 <= end)?;
         self.times.pop();
-        let scheduled = self.scheduled.remove(&number).expect("a scheduled event");
-        Some((at, scheduled))
+        let event = self
+            .events
+            .remove(&number)
+            .expect("a scheduled time has no event");
+        Some((at, event))
     }
 }
--- a/crates/balancer-simulation/src/lib.rs
+++ b/crates/balancer-simulation/src/lib.rs
@@ -1,5 +1,5 @@
-//! Simulations in virtual time for the tests of the balancer: one node with everything around it,
-//! and fleets of nodes before the same endpoints.
+//! Simulations in virtual time for the balancer's tests: a single node with its environment, and
+//! fleets of nodes that share their endpoints.
 
 pub mod actions;
 pub mod fixtures;
--- a/crates/balancer-simulation/src/node.rs
+++ b/crates/balancer-simulation/src/node.rs
@@ -1,5 +1,5 @@
-//! A simulation of one node and everything around it: delivers legal events, executes the actions,
-//! and checks the invariants of a node with bookkeeping of its own.
+//! A simulation of one node and its environment. It delivers valid events, executes the actions,
+//! and checks the invariants of a node against its own records.
 
 mod endpoint_list;
 mod health_checks;
@@ -7,7 +7,7 @@
 mod requests;
 
 use crate::fixtures::entry;
-use crate::virtual_time::{SHORTEST_TIMER, START};
+use crate::virtual_time::{MIN_TIMER_DELAY, START};
 use endpoint_list::ListedEndpoint;
 use health_checks::PendingHealthCheck;
 use ottertiller_balancer::{
@@ -18,9 +18,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A simulation of a single node. Panics when the node breaks an invariant.
+/// A simulation of a single node. It panics if the node violates an invariant.
 pub struct NodeSimulation {
-    /// The virtual time.
+    /// The current virtual time.
     pub now: Duration,
     /// The settings of the node.
     pub settings: Settings,
@@ -28,7 +28,7 @@
     pub actions: Vec<Action>,
     balancer: Balancer,
     requests: BTreeMap<RequestId, RequestState>,
-    /// The timers that are set, by their time and by the order in which they were set.
+    /// The timers that are set, by expiry time and then by the order in which they were set.
     timers: BTreeMap<(Duration, usize), Timer>,
     timers_set: usize,
     listed: BTreeMap<EndpointId, ListedEndpoint>,
@@ -42,7 +42,7 @@
         Self::with_seed(settings, 1)
     }
 
-    /// Starts a node without an endpoint list that draws its random numbers from this seed.
+    /// Starts a node with this seed for its random numbers, without an endpoint list.
     pub fn with_seed(settings: Settings, seed: u64) -> Self {
         NodeSimulation {
             now: START,
@@ -58,19 +58,20 @@
         }
     }
 
-    /// Starts a node whose list holds the endpoints 0, 1, ... `count - 1`.
+    /// Starts a node whose endpoint list contains the endpoints 0, 1, ... `count - 1`.
     pub fn with_endpoints(settings: Settings, count: u64) -> Self {
         Self::with_seed_and_endpoints(settings, 1, count)
     }
 
-    /// Starts a node with this seed whose list holds the endpoints 0, 1, ... `count - 1`.
+    /// Starts a node with this seed whose endpoint list contains the endpoints 0, 1, ...
+    /// `count - 1`.
     pub fn with_seed_and_endpoints(settings: Settings, seed: u64, count: u64) -> Self {
         let mut node = NodeSimulation::with_seed(settings, seed);
         node.update_endpoints(ListKind::Snapshot, (0..count).map(entry).collect());
         node
     }
 
-    /// Lets the node handle an event, checks and executes its actions, and returns them.
+    /// Delivers an event to the node, checks and executes the resulting actions, and returns them.
     pub fn deliver(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
@@ -81,7 +82,7 @@
         actions
     }
 
-    /// Lets time pass: timers fire, attempts and health checks time out.
+    /// Advances the virtual time by ticks. Timers fire, and attempts and health checks time out.
     pub fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -99,7 +100,10 @@
             .first_key_value()
             .filter(|((at, _), _)| *at <= self.now)
         {
-            let timer = self.timers.remove(&due).expect("a timer");
+            let timer = self
+                .timers
+                .remove(&due)
+                .expect("the first timer disappeared");
             self.deliver(Event::Timer(timer));
         }
     }
@@ -133,7 +137,7 @@
     }
 
     fn set_timer(&mut self, after: Duration, timer: Timer) {
-        let due = self.now + after.max(SHORTEST_TIMER);
+        let due = self.now + after.max(MIN_TIMER_DELAY);
         self.timers_set += 1;
         self.timers.insert((due, self.timers_set), timer);
     }
--- a/crates/balancer-simulation/src/node/health_checks.rs
+++ b/crates/balancer-simulation/src/node/health_checks.rs
@@ -1,4 +1,4 @@
-//! The health checks of the node, and their results.
+//! The health checks that the node sends, and their results.
 
 use super::NodeSimulation;
 use crate::fixtures::in_flight_report;
@@ -8,11 +8,12 @@
 /// The time after which a health check times out.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The requests in flight that an idle and a busy endpoint report.
-const IDLE: f32 = 0.0;
-const BUSY: f32 = 2.0;
+/// The requests in flight that an idle endpoint reports.
+const IDLE_LOAD: f32 = 0.0;
+/// The requests in flight that a busy endpoint reports.
+const BUSY_LOAD: f32 = 2.0;
 
-/// A health check without a result so far.
+/// A health check that has not ended.
 pub(super) struct PendingHealthCheck {
     endpoint: EndpointId,
     started: Duration,
@@ -20,8 +21,8 @@
 
 impl NodeSimulation {
     /// Ends the oldest pending health check, and returns its endpoint; `None` if none is pending.
-    /// The endpoint reports `in_flight` requests in flight; without a report the health check has
-    /// timed out.
+    /// The endpoint reports `in_flight` requests in flight. If `in_flight` is `None`, the health
+    /// check times out.
     pub fn end_health_check(&mut self, in_flight: Option<f32>) -> Option<EndpointId> {
         if self.health_checks.is_empty() {
             return None;
@@ -41,12 +42,12 @@
         Some(endpoint)
     }
 
-    /// Ends all pending health checks, also those that start meanwhile: the endpoints named `idle`
-    /// report idle, the others busy.
-    pub fn end_health_checks(&mut self, idle: &[u64]) {
+    /// Ends all pending health checks, including those that start meanwhile. The endpoints in
+    /// `idle_endpoints` report that they are idle, all others that they are busy.
+    pub fn end_health_checks(&mut self, idle_endpoints: &[u64]) {
         while let Some(check) = self.health_checks.first() {
-            let is_idle = idle.contains(&check.endpoint.0);
-            self.end_health_check(Some(if is_idle { IDLE } else { BUSY }));
+            let is_idle = idle_endpoints.contains(&check.endpoint.0);
+            self.end_health_check(Some(if is_idle { IDLE_LOAD } else { BUSY_LOAD }));
         }
     }
 
--- a/crates/balancer-simulation/src/node/invariants.rs
+++ b/crates/balancer-simulation/src/node/invariants.rs
@@ -1,11 +1,11 @@
-//! The invariants of a node, checked for each action:
+//! The invariants of a node, which are checked for each action:
 //!
-//! 1. each request has exactly one final response, by its deadline;
-//! 2. a request that may have run is retried or shed only as far as its idempotency allows;
-//! 3. no attempt starts at an endpoint that drains or was removed, once the grace period is over.
+//! 1. Each request gets exactly one final response, by its deadline.
+//! 2. A request that may have run is retried or shed only if its idempotency allows that.
+//! 3. No attempt starts at an endpoint that drains or was removed after the grace period.
 //!
-//! Invariant 4, the limit of an endpoint in slow start, depends on all nodes:
-//! [`fleet`](crate::fleet) counts what they send.
+//! Invariant 4, the limit of an endpoint in slow start, concerns the attempts of all nodes
+//! together. [`fleet`](crate::fleet) measures them.
 
 use super::NodeSimulation;
 use super::requests::{Attempt, RequestState};
@@ -14,7 +14,7 @@
 };
 use std::time::Duration;
 
-/// The time that a final response may be late by: the precision of timers.
+/// How late a final response may be, because of the precision of timers.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(5);
 
 impl NodeSimulation {
@@ -24,17 +24,17 @@
             let in_time = self.now <= request.deadline + DEADLINE_TOLERANCE;
             assert!(
                 request.finished || in_time,
-                "invariant 1: {id:?} has no final response"
+                "invariant 1: {id:?} has no final response after its deadline"
             );
         }
     }
 
-    /// Checks that a request may be shed now.
+    /// Checks that a request may be shed now (invariant 2).
     pub(super) fn check_shed(&self, id: RequestId) {
         let request = self
             .requests
             .get(&id)
-            .expect("invariant 1: sheds a request it was not given");
+            .expect("invariant 1: the node sheds a request that it never received");
         let may_be_shed = match self.settings.classes[request.class].idempotency {
             Idempotency::Idempotent
             | Idempotency::Keyed {
@@ -43,46 +43,54 @@
             } => true,
             _ => first_that_may_have_run(request).is_none(),
         };
-        assert!(may_be_shed, "invariant 2: {id:?} may have run and is shed");
+        assert!(
+            may_be_shed,
+            "invariant 2: {id:?} is shed although it may have run"
+        );
     }
 
-    /// Checks that attempts may be cancelled.
+    /// Checks that the settings allow the cancellation of attempts.
     pub(super) fn check_cancellation(&self) {
         assert!(
             self.settings.limits.allow_cancellation,
-            "cancels where that is not allowed"
+            "the node cancels an attempt although the settings forbid it"
         );
     }
 
-    /// Checks that health checks may be sent.
+    /// Checks that the settings allow health checks.
     pub(super) fn check_health_check(&self) {
         assert!(
             self.settings.limits.allow_health_checks,
-            "health checks where they are not allowed"
+            "the node sends a health check although the settings forbid it"
         );
     }
 
-    /// Checks that a request may be sent to an endpoint now.
+    /// Checks that an attempt of a request may start at an endpoint now.
     pub(super) fn check_attempt(&self, id: RequestId, endpoint: EndpointId) {
         let request = self
             .requests
             .get(&id)
-            .expect("invariant 1: sends a request it was not given");
+            .expect("invariant 1: the node starts an attempt of a request that it never received");
         assert!(
             !request.finished,
-            "invariant 1: {id:?} is sent after its final response"
+            "invariant 1: an attempt of {id:?} starts after its final response"
         );
         let listed = self
             .listed
             .get(&endpoint)
-            .expect("sends to an endpoint that was never listed");
+            .expect("the node starts an attempt at an endpoint that was never listed");
         let grace = self.settings.rules.drain_grace;
-        let in_grace = listed.stopped.is_none_or(|at| self.now <= at + grace);
-        assert!(in_grace, "invariant 3: {endpoint:?} drains or was removed");
+        let in_grace = listed
+            .unavailable_since
+            .is_none_or(|at| self.now <= at + grace);
+        assert!(
+            in_grace,
+            "invariant 3: an attempt starts at {endpoint:?}, which drains or was removed"
+        );
         let limits = &self.settings.limits;
         assert!(
             request.attempts.len() < limits.max_attempts as usize,
-            "too many attempts"
+            "{id:?} has more attempts than the settings allow"
         );
         let is_parallel = request
             .attempts
@@ -90,28 +98,29 @@
             .any(|attempt| attempt.outcome.is_none());
         assert!(
             !is_parallel || limits.allow_parallel_attempts,
-            "two attempts at once"
+            "{id:?} has two attempts in flight although the settings forbid it"
         );
         if let Some(first) = first_that_may_have_run(request) {
             let allowed = self.may_run_again(request.class, first, &listed.entry);
             assert!(
                 allowed,
-                "invariant 2: {id:?} may have run and is sent to {endpoint:?}"
+                "invariant 2: {id:?} is sent to {endpoint:?} although it may have run"
             );
         }
     }
 
-    /// Returns whether a request may be sent to an endpoint now that may have run in this attempt.
+    /// Returns whether a request that may have run in the attempt `first` may be sent to the
+    /// endpoint `to` now.
     fn may_run_again(&self, class: usize, first: &Attempt, to: &EndpointEntry) -> bool {
         match self.settings.classes[class].idempotency {
             Idempotency::Idempotent => true,
             Idempotency::NotIdempotent => false,
             Idempotency::Keyed { scope, window } => {
-                let home = &self.listed[&first.endpoint].entry;
+                let first_endpoint = &self.listed[&first.endpoint].entry;
                 let same_scope = match scope {
                     IdempotencyScope::All => true,
-                    IdempotencyScope::Zone => home.zone == to.zone,
-                    IdempotencyScope::Cell => home.cell == to.cell,
+                    IdempotencyScope::Zone => first_endpoint.zone == to.zone,
+                    IdempotencyScope::Cell => first_endpoint.cell == to.cell,
                 };
                 same_scope && self.now <= first.started + window
             }
@@ -124,11 +133,12 @@
     request
         .attempts
         .iter()
-        .find(|attempt| !attempt.outcome.is_some_and(proves_no_run))
+        .find(|attempt| !attempt.outcome.is_some_and(never_ran))
 }
 
-/// Returns whether an outcome proves that the request did not run.
-fn proves_no_run(outcome: Outcome) -> bool {
+/// Returns whether an outcome proves that the request never ran. This is independent of
+/// [`Outcome::never_ran`], which the balancer uses.
+fn never_ran(outcome: Outcome) -> bool {
     matches!(
         outcome,
         Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
--- a/crates/balancer-simulation/src/node/requests.rs
+++ b/crates/balancer-simulation/src/node/requests.rs
@@ -1,21 +1,24 @@
-//! The requests that the node was sent, and their attempts.
+//! The requests that were sent to the node, and their attempts.
 
 use super::NodeSimulation;
 use crate::fixtures::{DEADLINE, in_flight_report};
 use ottertiller_balancer::{Action, AttemptEnd, EndpointId, Event, NewRequest, Outcome, RequestId};
 use std::time::Duration;
 
-/// The identity of an attempt.
+/// The panic message for the id of an unknown request.
+const NEVER_SENT: &str = "the request was never sent to the node";
+
+/// Identifies an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptId {
-    /// The request that is attempted.
+    /// The id of the request.
     pub request: RequestId,
     /// The number of the attempt, in the order of sending, from 0.
     pub number: usize,
 }
 
 impl AttemptId {
-    /// Returns the id of an attempt by its number.
+    /// Returns the id of an attempt of a request.
     pub fn new(request: RequestId, number: usize) -> Self {
         AttemptId { request, number }
     }
@@ -26,7 +29,7 @@
     }
 }
 
-/// What a request may differ in.
+/// The properties of a request that a test may set.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestOptions {
     /// The index of the class.
@@ -35,12 +38,12 @@
     pub tenant: usize,
     /// The time from now to the deadline.
     pub remaining: Duration,
-    /// The work that the client says the request takes.
+    /// The CPU time that the client expects the request to take.
     pub cost_hint: Option<Duration>,
 }
 
 impl Default for RequestOptions {
-    /// Class 0 and tenant 0, with the whole time of the fixtures' classes.
+    /// Returns class 0, tenant 0 and the full deadline of the fixtures' classes.
     fn default() -> Self {
         RequestOptions {
             class: 0,
@@ -54,22 +57,22 @@
 pub(super) struct Attempt {
     pub(super) endpoint: EndpointId,
     pub(super) started: Duration,
-    times_out: Duration,
-    /// How it ended; `None` while it is in flight.
+    times_out_at: Duration,
+    /// The outcome; `None` while the attempt is in flight.
     pub(super) outcome: Option<Outcome>,
 }
 
 pub(super) struct RequestState {
     pub(super) class: usize,
     pub(super) deadline: Duration,
-    /// Whether it has its final response, or needs none as its client has disconnected.
+    /// Whether it has had its final response, or needs none because its client has disconnected.
     pub(super) finished: bool,
     pub(super) attempts: Vec<Attempt>,
 }
 
 impl NodeSimulation {
-    /// Sends a request of a class, with the whole time of the fixtures' classes. Returns its id and
-    /// the actions that follow.
+    /// Sends a request of a class, with the full deadline of the fixtures' classes. Returns its id
+    /// and the actions that follow.
     pub fn request(&mut self, class: usize) -> (RequestId, Vec<Action>) {
         self.request_with(RequestOptions {
             class,
@@ -93,7 +96,7 @@
         (id, self.submit(request))
     }
 
-    /// Sends a request with an id of the caller's, and returns the actions that follow.
+    /// Sends a request with the id that the caller has set, and returns the actions that follow.
     pub fn submit(&mut self, request: NewRequest) -> Vec<Action> {
         let state = RequestState {
             class: request.class,
@@ -105,22 +108,23 @@
         self.deliver(Event::Request(request))
     }
 
-    /// Has the client of a request disconnect.
+    /// Disconnects the client of a request.
     ///
     /// # Panics
     ///
-    /// Panics if the node was not sent the request.
+    /// Panics if the request was never sent to the node.
     pub fn disconnect_client(&mut self, id: RequestId) {
-        self.requests.get_mut(&id).expect("a request").finished = true;
+        let request = self.requests.get_mut(&id).expect(NEVER_SENT);
+        request.finished = true;
         self.deliver(Event::ClientDisconnected { id });
     }
 
-    /// Ends an attempt in flight, and returns the actions that follow. `in_flight` is what the
-    /// endpoint reports with the response.
+    /// Ends an attempt in flight, and returns the actions that follow. `in_flight` is the number of
+    /// requests in flight that the endpoint reports with the response, if any.
     ///
     /// # Panics
     ///
-    /// Panics if the node did not make the attempt, or it has ended.
+    /// Panics if the node never started the attempt, or if the attempt has already ended.
     pub fn end_attempt(
         &mut self,
         AttemptId {
@@ -130,9 +134,12 @@
         outcome: Outcome,
         in_flight: Option<f32>,
     ) -> Vec<Action> {
-        let request = self.requests.get_mut(&id).expect("a request");
+        let request = self.requests.get_mut(&id).expect(NEVER_SENT);
         let attempt = &mut request.attempts[number];
-        assert!(attempt.outcome.is_none(), "the test ends an attempt twice");
+        assert!(
+            attempt.outcome.is_none(),
+            "the test ends attempt {number} of {id:?} twice"
+        );
         attempt.outcome = Some(outcome);
         request.finished |= outcome == Outcome::Served;
         let end = AttemptEnd {
@@ -147,7 +154,7 @@
         self.deliver(Event::AttemptEnded(end))
     }
 
-    /// Ends the attempts that are in flight now. Attempts that start meanwhile stay in flight.
+    /// Ends all attempts that are in flight now. Attempts that start meanwhile stay in flight.
     pub fn end_all_attempts(&mut self, outcome: Outcome, in_flight: Option<f32>) {
         for attempt in self.attempts_in_flight() {
             self.end_attempt(attempt, outcome, in_flight);
@@ -172,13 +179,13 @@
         self.now - self.requests[&id].attempts[0].started
     }
 
-    /// Returns whether a request has its final response, or needs none as its client has
+    /// Returns whether a request has had its final response, or needs none because its client has
     /// disconnected.
     pub fn is_finished(&self, id: RequestId) -> bool {
         self.requests[&id].finished
     }
 
-    /// Returns the requests that are still owed a final response.
+    /// Returns the requests that still need a final response.
     pub fn unfinished_requests(&self) -> Vec<RequestId> {
         let unfinished =
             |(id, request): (&RequestId, &RequestState)| (!request.finished).then_some(*id);
@@ -191,26 +198,26 @@
     }
 
     pub(super) fn start_attempt(&mut self, id: RequestId, endpoint: EndpointId, timeout: Duration) {
-        let request = self.requests.get_mut(&id).expect("a request");
-        let times_out = (self.now + timeout).min(request.deadline);
+        let request = self.requests.get_mut(&id).expect(NEVER_SENT);
+        let times_out_at = (self.now + timeout).min(request.deadline);
         request.attempts.push(Attempt {
             endpoint,
             started: self.now,
-            times_out,
+            times_out_at,
             outcome: None,
         });
     }
 
-    /// Has an attempt time out at the next tick.
+    /// Makes an attempt time out at the next tick.
     pub(super) fn cancel_attempt(&mut self, attempt: AttemptId) {
-        let request = self.requests.get_mut(&attempt.request).expect("a request");
-        request.attempts[attempt.number].times_out = self.now;
+        let request = self.requests.get_mut(&attempt.request).expect(NEVER_SENT);
+        request.attempts[attempt.number].times_out_at = self.now;
     }
 
     pub(super) fn time_out_attempts(&mut self) {
         for attempt in self.attempts_in_flight() {
             let state = &self.requests[&attempt.request].attempts[attempt.number];
-            if state.outcome.is_none() && state.times_out <= self.now {
+            if state.outcome.is_none() && state.times_out_at <= self.now {
                 self.end_attempt(attempt, Outcome::TimedOut, None);
             }
         }
@@ -220,10 +227,10 @@
         let request = self
             .requests
             .get_mut(&id)
-            .expect("invariant 1: responds to a request it was not given");
+            .expect("invariant 1: the node responds to a request that it never received");
         assert!(
             !request.finished,
-            "invariant 1: a second final response to {id:?}"
+            "invariant 1: {id:?} gets a second final response"
         );
         request.finished = true;
     }
