--- a/crates/balancer/tests/action_digest.rs
+++ b/crates/balancer/tests/action_digest.rs
@@ -1,5 +1,6 @@
-//! Digests of all actions of fleets with fixed seeds. A change that keeps the behaviour keeps every
-//! digest; the commit of a change of behaviour says why digests change.
+//! Compares digests of all actions of simulated fleets, with fixed seeds, with recorded digests. A
+//! change that does not alter behaviour leaves every digest unchanged. A commit that alters
+//! behaviour explains why the digests change.
 
 use ottertiller_balancer::{Settings, Tenant};
 use ottertiller_balancer_simulation::fixtures::{
@@ -10,7 +11,8 @@
 const SEEDS: [u64; 2] = [1, 2];
 const FLEET_SIZES: [u32; 2] = [1, 12];
 
-/// Adds slow start and two tenants to settings, and costs if `with_costs`.
+/// Adds slow start and two tenants to settings. If `with_costs`, connections have a cost and the
+/// objective counts work instead of requests.
 fn with_tenants(base: Settings, with_costs: bool) -> Settings {
     let mut settings = base;
     settings.rules.initial_capacity = 0.3;
@@ -36,8 +38,8 @@
     settings
 }
 
-/// Plays twenty seconds in which endpoints are replaced twice and all nodes are restarted.
-fn play(settings: &Settings, nodes: u32, seed: u64) -> RecordedActions {
+/// Simulates twenty seconds in which endpoints are replaced twice and all nodes restart.
+fn simulate(settings: &Settings, nodes: u32, seed: u64) -> RecordedActions {
     let config = FleetConfig {
         settings,
         nodes,
@@ -57,11 +59,11 @@
     fleet.recorded_actions()
 }
 
-/// Returns the recorded actions of fleets of one and of twelve nodes, each with every seed.
+/// Returns the digests of a fleet of each size with each seed.
 fn digests(settings: &Settings) -> Vec<String> {
     FLEET_SIZES
         .into_iter()
-        .flat_map(|nodes| SEEDS.map(|seed| play(settings, nodes, seed).to_string()))
+        .flat_map(|nodes| SEEDS.map(|seed| simulate(settings, nodes, seed).to_string()))
         .collect()
 }
 
--- a/crates/balancer/tests/faults.rs
+++ b/crates/balancer/tests/faults.rs
@@ -1,6 +1,6 @@
-//! Faults, alone and in combination. The simulation checks the rules that a node must keep; the
-//! tests check that service goes on, that retries stay within their budget, and that no overload
-//! lasts.
+//! Faults of endpoints and of the endpoint list, alone and in combination. The simulation checks
+//! the invariants of a node. The tests check that requests are still served, that retries stay
+//! within their budget, and that every overload ends.
 
 use ottertiller_balancer::{EndpointId, ListKind, Outcome, Settings};
 use ottertiller_balancer_simulation::actions::{count_attempts, count_polls};
@@ -11,7 +11,7 @@
 use ottertiller_balancer_simulation::node::{NodeSimulation, RequestOptions};
 use std::time::Duration;
 
-/// Counts over a series of requests.
+/// Totals over a series of requests.
 #[derive(Debug, Default)]
 struct Summary {
     attempts: usize,
@@ -19,10 +19,10 @@
     polls: usize,
 }
 
-/// Plays requests of all classes, one every 30 ms, and checks that retries stay within their
-/// budget. `outcome` says how an attempt at an endpoint ends within that time; `None` means that it
-/// stays in flight.
-fn play(
+/// Sends requests of all classes, one every 30 ms, and checks that retries stay within their
+/// budget. `outcome` returns the outcome of an attempt at an endpoint within that time; `None`
+/// means that the attempt stays in flight.
+fn simulate(
     node: &mut NodeSimulation,
     requests: usize,
     outcome: impl Fn(u64) -> Option<Outcome>,
@@ -44,16 +44,16 @@
     let actions = &node.actions[before..];
     summary.attempts = count_attempts(actions);
     summary.polls = count_polls(actions);
-    // Two fifths of the requests, and twice the burst of a fresh node.
+    // The budget is 0.4 retries per request, plus 10: twice the budget that may be saved up.
     assert!(
         summary.attempts <= requests + requests * 2 / 5 + 10,
-        "retries beyond their budget: {summary:?}"
+        "retries exceed their budget: {summary:?}"
     );
     summary
 }
 
-/// Returns a function for [`play`] by which some endpoints have an outcome of their own, and the
-/// others serve.
+/// Returns an outcome function for [`simulate`]. Endpoints for which `has_fault` holds end attempts
+/// with the outcome `fault`; the others serve.
 fn outcome_where(
     has_fault: impl Fn(u64) -> bool,
     fault: Outcome,
@@ -67,7 +67,7 @@
     }
 }
 
-/// Returns a node for each way of reporting loads that has learned that all endpoints serve.
+/// Returns one node for each source of load reports. Each has learned that all endpoints serve.
 fn nodes_with_endpoints(endpoints: u64) -> [NodeSimulation; 2] {
     [response_report_settings(), health_check_settings()].map(|settings| {
         let mut node = NodeSimulation::with_endpoints(settings, endpoints);
@@ -76,23 +76,29 @@
     })
 }
 
-/// Checks that nearly all requests are served once all faults are over, after some requests that
-/// the node needs to learn that.
+/// Checks that nearly all requests are served after all faults have ended. Before that, 300
+/// requests let the node learn that the faults have ended.
 fn assert_recovers(node: &mut NodeSimulation) {
-    play(node, 300, |_| Some(Outcome::Served));
-    let summary = play(node, 200, |_| Some(Outcome::Served));
-    assert!(summary.served >= 196, "an overload that lasts: {summary:?}");
+    simulate(node, 300, |_| Some(Outcome::Served));
+    let summary = simulate(node, 200, |_| Some(Outcome::Served));
+    assert!(
+        summary.served >= 196,
+        "the overload does not end: {summary:?}"
+    );
 }
 
 #[test]
 fn unreachable_endpoint_is_ejected() {
     for mut node in nodes_with_endpoints(4) {
-        let summary = play(
+        let summary = simulate(
             &mut node,
             400,
             outcome_where(|endpoint| endpoint == 0, Outcome::ConnectFailed),
         );
-        assert!(summary.served >= 390, "{summary:?}");
+        assert!(
+            summary.served >= 390,
+            "fewer than 390 of 400 served: {summary:?}"
+        );
     }
 }
 
@@ -100,12 +106,15 @@
 fn unreachable_zone_does_not_stop_other_zones() {
     for mut node in nodes_with_endpoints(6) {
         let is_unreachable = |endpoint| entry(endpoint).zone == 0;
-        let summary = play(
+        let summary = simulate(
             &mut node,
             400,
             outcome_where(is_unreachable, Outcome::ConnectFailed),
         );
-        assert!(summary.served >= 380, "{summary:?}");
+        assert!(
+            summary.served >= 380,
+            "fewer than 380 of 400 served: {summary:?}"
+        );
         assert_recovers(&mut node);
     }
 }
@@ -114,14 +123,15 @@
 fn empty_list_stops_attempts_until_endpoint_is_listed() {
     for mut node in nodes_with_endpoints(4) {
         node.update_endpoints(ListKind::Snapshot, vec![]);
-        let summary = play(&mut node, 50, |_| Some(Outcome::Served));
+        let summary = simulate(&mut node, 50, |_| Some(Outcome::Served));
         assert_eq!(summary.attempts, 0);
         node.update_endpoints(ListKind::Snapshot, (0..4).map(entry).collect());
         assert_recovers(&mut node);
     }
 }
 
-/// The number of polls does not depend on the number of requests that arrive.
+/// A node without an endpoint list polls for it. The number of polls must not depend on the number
+/// of requests that arrive.
 #[test]
 fn missing_list_is_polled_with_backoff_under_load() {
     let mut node = NodeSimulation::new(Settings {
@@ -130,26 +140,30 @@
     });
     let mut polls = 0;
     for _ in 0..40 {
-        let summary = play(&mut node, 20, |_| Some(Outcome::Served));
+        let summary = simulate(&mut node, 20, |_| Some(Outcome::Served));
         assert_eq!(summary.attempts, 0);
         polls += summary.polls;
         if summary.polls > 0 {
             node.fail_endpoint_list();
         }
     }
-    // 24 s with at most 10 s between two polls, and far fewer polls than requests.
-    assert!((3..=20).contains(&polls), "{polls}");
+    // The polls are spread over 24 s, with at most 10 s in between, and are far fewer than the 800
+    // requests.
+    assert!(
+        (3..=20).contains(&polls),
+        "expected 3 to 20 polls, got {polls}"
+    );
     node.update_endpoints(ListKind::Snapshot, (0..4).map(entry).collect());
     assert_recovers(&mut node);
 }
 
-/// Endpoints first leave all attempts to time out, and then end them with errors.
+/// First all attempts time out, then all end with errors.
 #[test]
 fn overload_after_timeouts_and_errors_does_not_last() {
     for mut node in nodes_with_endpoints(4) {
-        play(&mut node, 400, |_| None);
-        // Errors close no crowding level; only the budget limits retries.
-        play(&mut node, 400, |_| Some(Outcome::Error));
+        simulate(&mut node, 400, |_| None);
+        // Errors do not close load levels of admission control; only the budget limits retries.
+        simulate(&mut node, 400, |_| Some(Outcome::Error));
         assert_recovers(&mut node);
     }
 }
@@ -157,12 +171,15 @@
 #[test]
 fn crash_among_stalled_endpoints_causes_no_lasting_overload() {
     for mut node in nodes_with_endpoints(6) {
-        let summary = play(&mut node, 300, |endpoint| match endpoint {
+        let summary = simulate(&mut node, 300, |endpoint| match endpoint {
             0 => Some(Outcome::ConnectFailed),
             1 | 2 => None,
             _ => Some(Outcome::Served),
         });
-        assert!(summary.served >= 200, "{summary:?}");
+        assert!(
+            summary.served >= 200,
+            "fewer than 200 of 300 served: {summary:?}"
+        );
         assert_recovers(&mut node);
     }
 }
@@ -170,22 +187,25 @@
 #[test]
 fn deployment_with_stale_list_causes_no_lasting_overload() {
     for mut node in nodes_with_endpoints(6) {
-        // Three were removed, and the list does not show it yet.
-        let summary = play(
+        // Endpoints 0, 1 and 2 have been removed, but the list still contains them.
+        let summary = simulate(
             &mut node,
             200,
             outcome_where(|endpoint| endpoint < 3, Outcome::Reset),
         );
-        assert!(summary.served >= 170, "{summary:?}");
+        assert!(
+            summary.served >= 170,
+            "fewer than 170 of 200 served: {summary:?}"
+        );
         let starting = (6..9).map(|number| started_entry(number, node.now));
-        let successors = starting.chain((3..6).map(entry)).collect();
-        node.update_endpoints(ListKind::Snapshot, successors);
+        let current_list = starting.chain((3..6).map(entry)).collect();
+        node.update_endpoints(ListKind::Snapshot, current_list);
         assert_recovers(&mut node);
     }
 }
 
-/// One endpoint responds to nothing. Every tenth request is heavy, and light ones in between are
-/// still served by the other endpoints.
+/// One endpoint never responds, and every tenth request is heavy. The other endpoints must still
+/// serve the light requests.
 #[test]
 fn heavy_requests_at_stalled_endpoint_do_not_stop_light_ones() {
     const STALLED: EndpointId = EndpointId(0);
@@ -216,12 +236,12 @@
                 }
             }
         }
-        assert!(served >= 250, "{served}");
+        assert!(served >= 250, "only {served} of 360 light requests served");
     }
 }
 
-/// Crowding levels start closed. A node that has never seen an endpoint below a closed level must
-/// open one, or it would shed all requests indefinitely.
+/// In admission control, high load levels start closed. A node that has only seen endpoints at
+/// closed levels must open one, or it would shed all requests indefinitely.
 #[test]
 fn node_that_sees_only_busy_endpoints_still_serves() {
     let mut node = NodeSimulation::with_endpoints(health_check_settings(), 4);
--- a/crates/balancer/tests/fleet_slow_start.rs
+++ b/crates/balancer/tests/fleet_slow_start.rs
@@ -1,4 +1,5 @@
-//! Slow start for a whole fleet: what all nodes together send to endpoints that have just started.
+//! Slow start in a fleet: the number of requests that all nodes together send to endpoints that
+//! have just started.
 
 use ottertiller_balancer::{Idempotency, Rules, Settings};
 use ottertiller_balancer_simulation::fixtures::{class, ms};
@@ -7,27 +8,27 @@
 
 const INITIAL_CAPACITY: f64 = 0.15;
 const SLOW_START_WINDOW: Duration = Duration::from_secs(20);
-/// The time before endpoints are replaced.
+/// The time until endpoints are replaced.
 const WARM_UP: Duration = Duration::from_secs(6);
-/// The time in which nodes are restarted one after the other.
+/// The time over which the restarts of all nodes are spread.
 const RESTART_TIME: Duration = Duration::from_secs(8);
-/// The time that is played after endpoints were replaced.
+/// The time that is simulated after endpoints were replaced.
 const OBSERVED_TIME: Duration = Duration::from_secs(10);
 
-/// A fleet, and the requests that it is sent.
+/// The parameters of a fleet and its load.
 #[derive(Clone, Copy, Debug)]
 struct Case {
     nodes: u32,
     endpoints: u64,
-    /// Requests a second that a warm endpoint can do.
+    /// The capacity of a warm endpoint, in requests per second.
     capacity: f64,
     overload_factor: f64,
-    /// The fraction of the capacity of all endpoints that the requests take.
+    /// The rate of requests, as a fraction of the total capacity of all endpoints.
     load: f64,
     seed: u64,
 }
 
-/// Returns settings with a slow start of twenty seconds.
+/// Returns settings with a slow start window of 20 s.
 fn slow_start_settings(overload_factor: f64) -> Settings {
     let mut settings = Settings {
         classes: vec![class(Idempotency::Idempotent)],
@@ -63,7 +64,8 @@
     fleet.replace_endpoints(0..endpoints / 2, endpoints..endpoints + endpoints / 2);
 }
 
-/// Plays a deployment: half of the endpoints are replaced, and all nodes are restarted in turn.
+/// Simulates a rolling deployment: half of the endpoints are replaced, and all nodes restart in
+/// turn.
 fn rolling_deployment(case: Case) -> FleetSimulation {
     let mut fleet = start_fleet(case);
     fleet.advance(WARM_UP);
@@ -73,11 +75,12 @@
     fleet
 }
 
-/// Checks what all nodes together send to an endpoint in slow start. N is what the settings allow
-/// it at its present capacity; 2 x sqrt(N) + 2 requests more are the allowance for chance.
+/// Checks the number of requests that all nodes together send to an endpoint in slow start. The
+/// limit is N + 2 x sqrt(N) + 2. N is the number that the settings allow at the endpoint's current
+/// capacity; the rest is an allowance for random variation.
 #[test]
 fn fleet_stays_within_slow_start_limit_of_each_endpoint() {
-    // The allowance for chance is relatively larger at a small capacity.
+    // At a small capacity, the allowance for random variation is relatively larger.
     for (nodes, endpoints, capacity) in [
         (1, 10, 20.0),
         (1, 10, 100.0),
@@ -99,14 +102,14 @@
                 load,
                 seed,
             };
-            let overload = rolling_deployment(case).max_limit_excess();
-            assert!(overload <= 0.0, "{case:?}: {overload} too many");
+            let excess = rolling_deployment(case).max_limit_excess();
+            assert!(excess <= 0.0, "{case:?}: {excess} requests above the limit");
         }
     }
 }
 
-/// In an overload the other endpoints complete few requests in time. Endpoints in slow start, which
-/// alone have capacity left, must not be limited to as few.
+/// If the warm endpoints are overloaded, they serve few requests in time, and only endpoints in
+/// slow start have capacity left. The limit of these must not fall with what warm endpoints serve.
 #[test]
 fn slow_start_endpoints_carry_share_while_others_overloaded() {
     const CAPACITY: f64 = 20.0;
@@ -133,13 +136,14 @@
         let share = served as f64 / possible;
         assert!(
             share > 0.26,
-            "factor {overload_factor}: they served {share} of what they can"
+            "overload factor {overload_factor}: new endpoints served only {share} of capacity"
         );
     }
 }
 
-/// Start times are listed by the wall clock, which may be stepped by any amount. By the clocks of
-/// the nodes, the endpoints have only just started.
+/// Endpoint lists give start times by the wall clock, which may be stepped by any amount. Endpoints
+/// that have just started then appear older, or seem to start in the future. Their limit must hold
+/// all the same.
 #[test]
 fn fleet_stays_within_slow_start_limit_after_clock_step() {
     for clock_step_ms in [-60_000, -20_000, -6_000, -2_000, 3_600_000] {
@@ -161,10 +165,10 @@
             fleet.advance(WARM_UP);
             replace_half_of_endpoints(&mut fleet, endpoints);
             fleet.advance(OBSERVED_TIME);
-            let overload = fleet.max_limit_excess();
+            let excess = fleet.max_limit_excess();
             assert!(
-                overload <= 0.0,
-                "{case:?}, clock stepped by {clock_step_ms} ms: {overload} too many"
+                excess <= 0.0,
+                "{case:?}, clock stepped by {clock_step_ms} ms: {excess} requests above the limit"
             );
         }
     }
--- a/crates/balancer/tests/memory.rs
+++ b/crates/balancer/tests/memory.rs
@@ -1,5 +1,5 @@
-//! The memory of the balancer does not grow with past requests and endpoints. This test is alone in
-//! its program, so that the memory of the process is that of the balancer.
+//! The memory of the balancer must not grow with past requests and endpoints. This program contains
+//! no other test, so that the resident memory of the process is that of the balancer.
 
 use ottertiller_balancer::{
     Action, AttemptEnd, Balancer, Event, HealthCheckEnd, ListKind, NewRequest, Outcome, RequestId,
@@ -13,20 +13,19 @@
 const START: Duration = Duration::from_secs(1);
 /// The time between two requests.
 const REQUEST_INTERVAL: Duration = Duration::from_micros(1500);
-/// The growth that is not counted as a leak. One hundred bytes kept for each request or endpoint
-/// would be 13 MB.
-const MOST_GROWTH_KIB: u64 = 2048;
+/// The growth that is not a leak. 100 bytes retained for each request would amount to 13 MB.
+const MAX_GROWTH_KIB: u64 = 2048;
 
-/// Returns the resident memory of this process in KiB; `None` where there is no `/proc`.
-fn resident_memory() -> Option<u64> {
+/// Returns the resident memory of this process in KiB; `None` on systems without `/proc`.
+fn resident_memory_kib() -> Option<u64> {
     let status = std::fs::read_to_string("/proc/self/status").ok()?;
     let line = status.lines().find(|line| line.starts_with("VmRSS:"))?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
-/// Plays requests while the endpoint list changes with every tenth of them. Executes attempts and
-/// health checks only.
-fn play(balancer: &mut Balancer, requests: Range<u64>) {
+/// Sends requests to the balancer, and changes the endpoint list with every tenth of them. Executes
+/// only attempts and health checks.
+fn simulate(balancer: &mut Balancer, requests: Range<u64>) {
     let mut actions = Vec::new();
     for number in requests {
         let now = START + REQUEST_INTERVAL * number as u32;
@@ -80,14 +79,16 @@
 #[test]
 fn memory_does_not_grow_with_past_requests_and_endpoints() {
     let mut balancer = Balancer::new(health_check_settings(), 1);
-    play(&mut balancer, 1..20_000);
-    let Some(before) = resident_memory() else {
-        return eprintln!("no /proc here: not checked");
+    simulate(&mut balancer, 1..20_000);
+    let Some(before) = resident_memory_kib() else {
+        return eprintln!("memory growth is not checked: this system has no /proc");
     };
-    play(&mut balancer, 20_000..150_000);
-    let grown = resident_memory().unwrap_or(before).saturating_sub(before);
+    simulate(&mut balancer, 20_000..150_000);
+    let growth = resident_memory_kib()
+        .unwrap_or(before)
+        .saturating_sub(before);
     assert!(
-        grown < MOST_GROWTH_KIB,
-        "{grown} KiB more after 130,000 requests"
+        growth < MAX_GROWTH_KIB,
+        "memory grew by {growth} KiB over 130,000 requests"
     );
 }
--- a/crates/balancer/tests/properties/invariants.rs
+++ b/crates/balancer/tests/properties/invariants.rs
@@ -1,5 +1,5 @@
-//! The invariants of a node, which the simulation checks, hold in random legal histories, and the
-//! same history gives the same actions.
+//! The invariants of a node hold in random valid histories, and the same history always produces
+//! the same actions. The simulation checks the invariants.
 
 use crate::config;
 use ottertiller_balancer::{
@@ -14,11 +14,11 @@
 use std::time::Duration;
 
 const CASES: u32 = 256;
-/// The longest time that a client waits, in milliseconds.
-const LONGEST_BUDGET_MS: u64 = 1500;
-/// The endpoints that the cached list holds.
+/// The longest time that a client waits for a response, in milliseconds.
+const MAX_REMAINING_MS: u64 = 1500;
+/// The number of endpoints in the cached list.
 const CACHED_ENDPOINTS: u64 = 4;
-/// The outcomes of attempts.
+/// All outcomes of attempts.
 const OUTCOMES: [Outcome; 8] = [
     Outcome::Served,
     Outcome::Error,
@@ -39,7 +39,7 @@
         cost: Option<u64>,
     },
     AttemptEnd {
-        /// Chooses one of the attempts in flight.
+        /// Selects one of the attempts in flight.
         choice: usize,
         /// An index into [`OUTCOMES`].
         outcome: usize,
@@ -50,7 +50,7 @@
         in_flight: Option<u8>,
     },
     ClientDisconnect {
-        /// Chooses one of the unfinished requests.
+        /// Selects one of the unfinished requests.
         choice: usize,
     },
     EndpointList {
@@ -68,12 +68,12 @@
 struct ListedState {
     endpoint: u64,
     state: EndpointState,
-    /// Whether it has started just now.
+    /// Whether it has just started.
     is_restarted: bool,
 }
 
 impl ListedState {
-    /// Returns the entry as it is listed at this time.
+    /// Returns the entry as it is listed at `now`.
     fn entry(&self, now: Duration) -> EndpointEntry {
         EndpointEntry {
             state: self.state,
@@ -83,7 +83,7 @@
     }
 }
 
-/// Generates entries of endpoint lists, of which most are ready.
+/// Generates list entries of endpoints, most of them ready.
 fn listed_state() -> impl Strategy<Value = ListedState> {
     (0u64..6, 0u8..8, any::<bool>()).prop_map(|(endpoint, state, is_restarted)| ListedState {
         endpoint,
@@ -96,12 +96,13 @@
     })
 }
 
-/// Generates steps, with more requests and responses than changes of the endpoint list.
+/// Generates steps. Requests and ends of attempts are more frequent than changes of the endpoint
+/// list.
 fn step() -> impl Strategy<Value = Step> {
     let in_flight = || prop::option::of(0u8..4);
     let request = (
         0..classes::COUNT,
-        1..LONGEST_BUDGET_MS,
+        1..MAX_REMAINING_MS,
         prop::option::of(1u64..600),
     )
         .prop_map(|(class, remaining, cost)| Step::Request {
@@ -138,13 +139,13 @@
     prop::collection::vec(step(), 1..120)
 }
 
-/// Returns one of some items; `None` if there are none.
+/// Returns the item at index `choice` modulo the number of items; `None` if there are none.
 fn choose<T: Copy>(items: &[T], choice: usize) -> Option<T> {
     items.get(choice.checked_rem(items.len())?).copied()
 }
 
-/// Plays a step of a history.
-fn play_step(node: &mut NodeSimulation, step: &Step) {
+/// Applies a step of a history to a node.
+fn apply_step(node: &mut NodeSimulation, step: &Step) {
     match step {
         Step::Request {
             class,
@@ -186,7 +187,7 @@
     }
 }
 
-/// Delivers an endpoint list. A snapshot has no entries of removed endpoints.
+/// Delivers an endpoint list. Entries of removed endpoints are left out of a snapshot.
 fn update_endpoints(node: &mut NodeSimulation, is_snapshot: bool, entries: &[ListedState]) {
     let kind = if is_snapshot {
         ListKind::Snapshot
@@ -202,17 +203,17 @@
     node.update_endpoints(kind, entries);
 }
 
-/// Plays a history, and checks at its end that no request is left unfinished. Returns all actions.
-fn play(settings: Settings, seed: u64, steps: &[Step]) -> Vec<Action> {
+/// Runs a history, and checks at its end that no request is unfinished. Returns all actions.
+fn run_history(settings: Settings, seed: u64, steps: &[Step]) -> Vec<Action> {
     let mut node = NodeSimulation::with_seed(settings, seed);
     node.update_endpoints(ListKind::Cached, (0..CACHED_ENDPOINTS).map(entry).collect());
     for step in steps {
-        play_step(&mut node, step);
+        apply_step(&mut node, step);
     }
-    node.advance(ms(LONGEST_BUDGET_MS + 100));
+    node.advance(ms(MAX_REMAINING_MS + 100));
     assert!(
         node.unfinished_requests().is_empty(),
-        "invariant 1: {:?} left without a final response",
+        "invariant 1: {:?} have no final response",
         node.unfinished_requests()
     );
     assert!(node.attempts_in_flight().is_empty());
@@ -228,7 +229,10 @@
         settings.rules.initial_capacity = 0.2;
         settings.rules.slow_start_window = ms(5000);
         settings.rules.drain_grace = ms(0);
-        prop_assert_eq!(play(settings.clone(), seed, &steps), play(settings, seed, &steps));
+        prop_assert_eq!(
+            run_history(settings.clone(), seed, &steps),
+            run_history(settings, seed, &steps)
+        );
     }
 
     #[test]
@@ -237,15 +241,19 @@
         settings.limits.allow_parallel_attempts = false;
         settings.rules.drain_grace = ms(0);
         settings.poll_endpoints = true;
-        play(settings, seed, &steps);
+        run_history(settings, seed, &steps);
     }
 
     #[test]
     fn invariants_hold_with_minimal_limits(seed: u64, steps in history()) {
         let mut settings = settings();
-        settings.limits = Limits { max_attempts: 1, allow_cancellation: false, ..Settings::default().limits };
+        settings.limits = Limits {
+            max_attempts: 1,
+            allow_cancellation: false,
+            ..Settings::default().limits
+        };
         settings.node_count = 1;
         settings.rules.drain_grace = ms(0);
-        play(settings, seed, &steps);
+        run_history(settings, seed, &steps);
     }
 }
--- a/crates/balancer/tests/properties/main.rs
+++ b/crates/balancer/tests/properties/main.rs
@@ -1,11 +1,12 @@
-//! Properties that hold in random legal histories.
+//! Properties that hold for all valid event histories, checked with random ones.
 
 mod invariants;
 mod slow_start_limit;
 
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
 
-/// Returns a configuration for that many cases, which are the same in each run.
+/// Returns a configuration for this number of cases. The fixed seed makes them the same in each
+/// run.
 fn config(cases: u32) -> Config {
     Config {
         cases,
