--- a/crates/balancer-simulation/src/fleet.rs
+++ b/crates/balancer-simulation/src/fleet.rs
@@ -104,7 +104,7 @@
 
     /// Returns the number of all actions so far and their digest.
     pub fn recorded_actions(&self) -> RecordedActions {
-        self.digest.finish()
+        self.digest.recorded_actions()
     }
 
     /// Returns the highest number of requests by which all nodes together exceeded the limit of an
--- a/crates/balancer-simulation/src/fleet/action_digest.rs
+++ b/crates/balancer-simulation/src/fleet/action_digest.rs
@@ -57,7 +57,7 @@
     }
 
     /// Returns the number of the actions that were added and their digest.
-    pub(super) fn finish(&self) -> RecordedActions {
+    pub(super) fn recorded_actions(&self) -> RecordedActions {
         let digest = self.digest.clone().finalize();
         let hex = digest
             .iter()
--- a/crates/balancer/src/estimates/response_times.rs
+++ b/crates/balancer/src/estimates/response_times.rs
@@ -12,8 +12,8 @@
 }
 
 impl ResponseTimes {
-    /// Returns the initial estimates: means are half of the latency objective, and the median is a
-    /// quarter of the shortest one.
+    /// Returns the initial estimates. The mean of a class is half of its latency objective. The
+    /// overall mean and median are a half and a quarter of the shortest latency objective.
     pub(crate) fn new(settings: &Settings) -> Self {
         let objectives: Vec<Duration> = settings
             .classes
--- a/crates/balancer/src/settings/model.rs
+++ b/crates/balancer/src/settings/model.rs
@@ -63,10 +63,10 @@
 /// Whether and where a request may be retried once an attempt may have run it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may be retried without restriction.
+    /// The request may be retried without restriction.
     Idempotent,
-    /// It carries an idempotency key. Endpoints drop repeats of the key within a scope, for a
-    /// limited time.
+    /// The request carries an idempotency key. Endpoints drop repeats of the key within a scope,
+    /// for a limited time.
     Keyed {
         /// The endpoints that share their idempotency keys.
         scope: IdempotencyScope,
@@ -74,7 +74,7 @@
         /// request.
         window: Duration,
     },
-    /// It must not run twice.
+    /// The request must not run twice.
     NotIdempotent,
 }
 
@@ -123,7 +123,7 @@
     pub allow_parallel_attempts: bool,
     /// The longest `Retry-After` that clients obey; `None` if they do not support that header.
     pub max_retry_after: Option<Duration>,
-    /// The time after which an attempt to connect has failed.
+    /// The timeout for establishing a connection.
     pub connect_timeout: Duration,
 }
 
