--- a/crates/balancer/src/backoff.rs
+++ b/crates/balancer/src/backoff.rs
@@ -3,7 +3,7 @@
 use crate::numeric::Random;
 use std::time::Duration;
 
-/// The waits between calls that fail: each one twice as long as the one before, within bounds.
+/// The waits between failed calls: each is twice as long as the one before, within bounds.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
     shortest: Duration,
@@ -13,8 +13,8 @@
 }
 
 impl Backoff {
-    /// Returns a backoff whose waits lie between `shortest` and `longest`, which must not be
-    /// shorter.
+    /// Returns a backoff whose waits before jitter grow from `shortest` to `longest`. `longest`
+    /// must not be less than `shortest`.
     pub fn new(shortest: Duration, longest: Duration) -> Self {
         Backoff {
             shortest,
@@ -23,13 +23,13 @@
         }
     }
 
-    /// Begins anew with the shortest wait.
+    /// Starts again with the shortest wait, after a success.
     pub fn reset(&mut self) {
         self.wait = Duration::ZERO;
     }
 
-    /// Returns the next wait: between half and all of its length, so that nodes that failed
-    /// together do not call together.
+    /// Returns the next wait, with jitter: between half and all of its length, so that nodes that
+    /// failed together do not call together.
     pub fn next_wait(&mut self, random: &mut Random) -> Duration {
         self.wait = (2 * self.wait).clamp(self.shortest, self.longest);
         self.wait.mul_f64(0.5 + random.unit() / 2.0)
--- a/crates/balancer/src/endpoint_polling.rs
+++ b/crates/balancer/src/endpoint_polling.rs
@@ -1,25 +1,26 @@
-//! When the endpoint list is polled, where discovery does not push it (settings key `RegistryMode:
-//! ask`).
+//! The schedule by which a node polls the endpoint list, if discovery does not push it (settings
+//! key `RegistryMode: ask`).
 
 use crate::Settings;
 use crate::backoff::Backoff;
 use crate::numeric::Random;
 use std::time::Duration;
 
-/// The first wait after a failed call, and the least time between a call and the one after the
-/// watch that it opened has broken. A node is taken to know of a change 6 s after the watch that
-/// missed it fell silent, and most of that passes before the silence is noticed.
+/// The first wait after a failed call, and the least time between a call that opens a watch and the
+/// next call if that watch breaks. A node counts as informed of a change 6 s after the watch that
+/// missed the change stopped sending, and most of these 6 s pass before the node notices that.
 const FIRST_BACKOFF: Duration = Duration::from_millis(500);
-/// The longest wait after a failed call. A node is taken to know of a change 6 s after discovery is
-/// reachable again, however long the poll interval is, and a call that is not answered takes most
-/// of that.
+/// The longest wait after a failed call. A node counts as informed of a change 6 s after discovery
+/// is reachable again, whatever the poll interval is, and an unanswered call takes most of these
+/// 6 s.
 const MAX_BACKOFF: Duration = Duration::from_millis(1250);
-/// How long a call may go unanswered before the next one: no longer than those 6 s.
+/// The time without an answer after which the next call is due: the 6 s after which a node counts
+/// as informed.
 const CALL_TIMEOUT: Duration = Duration::from_secs(6);
-/// Nodes may all have started together: the first calls spread over this part of the poll interval.
+/// The fraction of the poll interval over which the first calls are spread, since all nodes may
+/// start together.
 const FIRST_CALL_SPREAD: f64 = 0.25;
-
-/// How many times within the poll interval, at least, the schedule is looked at.
+/// How many times per poll interval the schedule is checked, at least.
 const CHECKS_PER_INTERVAL: u32 = 64;
 
 /// The schedule of calls to discovery.
@@ -51,7 +52,8 @@
         self.next_call = Some(now + spread);
     }
 
-    /// Returns whether to call now. The call counts as unanswered if there is no list in time.
+    /// Returns whether a call is due now, and schedules the next call for the case that no list
+    /// arrives in time.
     pub(crate) fn call_is_due(&mut self, now: Duration) -> bool {
         let is_due = self.next_call.is_some_and(|at| now >= at);
         if is_due {
@@ -61,23 +63,25 @@
         is_due
     }
 
-    /// Returns the time between two looks at the schedule, which is short against every wait in it.
+    /// Returns the time between two checks of the schedule, which is short compared to the waits
+    /// in it.
     pub(crate) fn check_interval(&self) -> Duration {
         (self.interval / CHECKS_PER_INTERVAL).min(FIRST_BACKOFF / 2)
     }
 
     /// Schedules the next call after one that failed, or after the end of the subscription.
     ///
-    /// If the subscription ended, the wait counts from the call that opened it: a watch may end in
-    /// place of a change, and discovery works through the calls of all nodes one after the other,
-    /// so that none of the time until the change counts as known is there to be waited out.
+    /// If the subscription ended, the wait counts from the call that opened it, so the next call is
+    /// usually due at once. A watch may end instead of delivering a change, and discovery handles
+    /// the calls of all nodes one after the other, so a wait would use up the 6 s after which the
+    /// node counts as informed of the change.
     pub(crate) fn record_failure(&mut self, now: Duration, random: &mut Random) {
         let was_subscribed = self.next_call.is_none();
         let wait_from = if was_subscribed { self.last_call } else { now };
         self.next_call = Some(wait_from + self.backoff.next_wait(random));
     }
 
-    /// Records that discovery has sent a list: the node is subscribed.
+    /// Records that discovery has sent a list: the node is subscribed, and no call is due.
     pub(crate) fn record_list(&mut self) {
         self.next_call = None;
         self.backoff.reset();
--- a/crates/balancer/src/priority.rs
+++ b/crates/balancer/src/priority.rs
@@ -1,27 +1,30 @@
-//! How much a request counts when some must be rejected: its class's priority weight, less where
-//! its tenant is over its quota (settings keys `Credit`, `Projects`, `OverShareWorth`).
+//! The priority of a request when some must be rejected: the priority weight of its class, reduced
+//! if its tenant is over its quota (settings keys `Credit`, `Projects`, `OverShareWorth`).
 
 use crate::numeric::{SLOW_SMOOTHING, SMOOTHING, TokenBucket, smooth};
 use crate::{Settings, Tenant};
 use std::time::Duration;
 
-/// The highest priority, as a multiple of the mean request's.
+/// The maximum priority, as a multiple of the mean request's.
 const MAX_PRIORITY: f64 = 1e3;
-/// The least weight of the whole time that the worst-served class is compared with.
+/// The lower bound on the objective's weight of the whole time, by which the weight of the
+/// worst-served class is divided.
 const MIN_WHOLE_WEIGHT: f64 = SMOOTHING;
-/// The least mean weight that priorities are relative to.
+/// The lower bound on the mean weight that a request's weight is divided by.
 const MIN_MEAN_WEIGHT: f64 = 1e-9;
 
-/// The priorities of requests, relative to the mean request.
+/// Computes the priorities of requests, relative to the mean request.
 pub(crate) struct Priorities {
     class_weights: Vec<f64>,
     /// This node's part of each tenant's quota.
     quotas: Vec<Quota>,
+    /// The factor on the weight of a request whose tenant is over its quota.
     over_quota_weight: f64,
     /// The objective's weight of the worst-served class.
-    worst_class: f64,
+    worst_class_weight: f64,
     /// The objective's weight of the whole time.
-    whole: f64,
+    whole_weight: f64,
+    /// The moving average of the weights of requests.
     mean_weight: f64,
 }
 
@@ -40,8 +43,8 @@
                 .map(|tenant| Quota::new(tenant, settings.node_count))
                 .collect(),
             over_quota_weight: settings.over_quota_weight,
-            worst_class: settings.objective_weights.worst_class,
-            whole: settings.objective_weights.whole.max(MIN_WHOLE_WEIGHT),
+            worst_class_weight: settings.objective_weights.worst_class,
+            whole_weight: settings.objective_weights.whole.max(MIN_WHOLE_WEIGHT),
             mean_weight: class_weights.iter().sum::<f64>() / class_weights.len().max(1) as f64,
             class_weights,
         }
@@ -59,12 +62,12 @@
         };
         let weight = self.class_weights[class] * factor;
         smooth(&mut self.mean_weight, weight, SLOW_SMOOTHING);
-        let even = self.mean_weight * self.worst_class / self.whole;
-        let relative = (weight + even) / (self.mean_weight + even).max(MIN_MEAN_WEIGHT);
+        let even_part = self.mean_weight * self.worst_class_weight / self.whole_weight;
+        let relative = (weight + even_part) / (self.mean_weight + even_part).max(MIN_MEAN_WEIGHT);
         relative.clamp(0.0, MAX_PRIORITY)
     }
 
-    /// Counts a request against its tenant's quota, and returns whether it is beyond it.
+    /// Counts a request against its tenant's quota, and returns whether the quota is exceeded.
     fn is_over_quota(&mut self, tenant: usize, now: Duration) -> bool {
         self.quotas
             .get_mut(tenant)
@@ -89,6 +92,7 @@
         }
     }
 
+    /// Counts a request at `now`, and returns whether it is within the quota.
     fn try_take(&mut self, now: Duration) -> bool {
         let elapsed = (now - self.updated).as_secs_f64();
         self.tokens.refill(self.requests_per_second * elapsed);
--- a/crates/balancer/src/retry.rs
+++ b/crates/balancer/src/retry.rs
@@ -1,4 +1,5 @@
-//! Further attempts at a request: how many, what may run twice, and when the next one starts.
+//! Further attempts at a request: how many there may be, which requests may run twice, and when the
+//! next attempt starts.
 
 pub(crate) mod budget;
 pub(crate) mod client_retry;
--- a/crates/balancer/src/retry/budget.rs
+++ b/crates/balancer/src/retry/budget.rs
@@ -1,13 +1,13 @@
-//! The retry budget: further attempts stay a fixed share of requests, so that retries cannot
+//! The retry budget: limits further attempts to a fixed share of requests, so that retries cannot
 //! multiply an overload (Google SRE book, "Handling Overload", per-client retry budget).
 
 use crate::numeric::TokenBucket;
 
-/// The tokens that each request adds: further attempts as a share of requests.
+/// The tokens that each request adds, each for one further attempt.
 const TOKENS_PER_REQUEST: f64 = 0.4;
 /// The tokens that a node starts with, before requests have added any.
 const INITIAL_TOKENS: f64 = 1.0 / TOKENS_PER_REQUEST;
-/// The most tokens: a quiet time is not saved up for a burst of retries.
+/// The maximum number of tokens, so that a quiet period cannot accumulate a burst of retries.
 const MAX_TOKENS: f64 = 2.0 / TOKENS_PER_REQUEST;
 
 /// The budget of a node for retries and hedged requests.
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Adds what a request that has arrived may spend.
+    /// Adds the tokens of a request that has arrived.
     pub(crate) fn deposit(&mut self) {
         self.tokens.refill(TOKENS_PER_REQUEST);
     }
@@ -33,12 +33,13 @@
         self.tokens.has(1.0)
     }
 
-    /// Returns whether one more attempt could follow the one that is about to start.
+    /// Returns whether a further attempt could follow the one that is about to start, which itself
+    /// takes a token if it is a retry.
     pub(crate) fn allows_retry_after(&self, attempt_is_retry: bool) -> bool {
         self.tokens.has(if attempt_is_retry { 2.0 } else { 1.0 })
     }
 
-    /// Spends what a further attempt costs.
+    /// Takes the token of a further attempt that has started.
     pub(crate) fn withdraw(&mut self) {
         self.tokens.take();
     }
--- a/crates/balancer/src/retry/client_retry.rs
+++ b/crates/balancer/src/retry/client_retry.rs
@@ -1,28 +1,30 @@
-//! Clients that retry: how long a client has waited already, as far as its requests show.
+//! Retries by clients: estimates how long a client has already waited when its request arrives.
+//! Work for a client that is past its latency objective has no value and prolongs an overload.
 //!
-//! `NewRequest::remaining` is how long the client waits for this try, of the class's deadline in
-//! all. Where a try may last the whole deadline, what is left of it tells the time spent. Where
-//! tries are cut shorter, it tells only once the rest is shorter still; until then a marked retry
-//! has waited at least as long as the soonest retry that did tell. Work for a client past its
-//! latency objective only feeds an overload.
+//! A client waits for the deadline of the class in all, over all its tries, and
+//! [`NewRequest::remaining`] is how long it waits for the present try. If a try may last until the
+//! deadline, the time spent is `deadline - remaining`. If clients set a shorter timeout for each
+//! try, this holds only once the time left is shorter than that timeout. Until then, a request that
+//! is marked as a retry counts as having waited for the shortest known time to a retry.
 
 use crate::{NewRequest, Settings};
 use std::time::Duration;
 
-/// Waits count as equal if they differ by less than one part in this many.
+/// Two times count as equal if their relative difference is below `1 / TOLERANCE_DIVISOR`.
 const TOLERANCE_DIVISOR: u32 = 64;
 
-/// What the requests of clients have shown about their retries.
+/// What the requests of clients have shown about their timeouts and retries.
 pub(crate) struct ClientRetries {
+    /// The deadline of each class.
     deadlines: Vec<Duration>,
     /// How long clients wait for their first try, by class.
-    first_try: Vec<Duration>,
-    /// The shortest time from a first try to its retry, where that could be seen.
-    shortest_backoff: Option<Duration>,
+    first_try_timeouts: Vec<Duration>,
+    /// The shortest time from a first try to its retry, among the retries that show this time.
+    shortest_time_to_retry: Option<Duration>,
 }
 
 impl ClientRetries {
-    /// Returns a state that has seen no request.
+    /// Returns the state before the first request.
     pub(crate) fn new(settings: &Settings) -> Self {
         ClientRetries {
             deadlines: settings
@@ -30,33 +32,33 @@
                 .iter()
                 .map(|class| class.deadline)
                 .collect(),
-            first_try: vec![Duration::ZERO; settings.classes.len()],
-            shortest_backoff: None,
+            first_try_timeouts: vec![Duration::ZERO; settings.classes.len()],
+            shortest_time_to_retry: None,
         }
     }
 
-    /// Records a new request and returns how long its client is likely to have waited already.
+    /// Records a new request, and returns an estimate of the time that its client has already
+    /// waited.
     pub(crate) fn time_spent(&mut self, request: &NewRequest, class: usize) -> Duration {
         let deadline = self.deadlines[class];
         if !request.client_retry {
-            self.first_try[class] = request.remaining;
+            self.first_try_timeouts[class] = request.remaining;
         }
-        let first_try = self.first_try[class];
+        let timeout = self.first_try_timeouts[class];
         let spent = deadline.saturating_sub(request.remaining);
-        let try_lasts_deadline = first_try + deadline / TOLERANCE_DIVISOR >= deadline;
-        if request.client_retry && try_lasts_deadline {
+        let try_may_last_until_deadline = timeout + deadline / TOLERANCE_DIVISOR >= deadline;
+        if request.client_retry && try_may_last_until_deadline {
             let shortest = self
-                .shortest_backoff
-                .map_or(spent, |backoff| backoff.min(spent));
-            self.shortest_backoff = Some(shortest);
+                .shortest_time_to_retry
+                .map_or(spent, |shortest| shortest.min(spent));
+            self.shortest_time_to_retry = Some(shortest);
         }
-        let cut_like_first_try =
-            request.remaining.abs_diff(first_try) < first_try / TOLERANCE_DIVISOR;
-        if !cut_like_first_try {
+        let has_full_timeout = request.remaining.abs_diff(timeout) < timeout / TOLERANCE_DIVISOR;
+        if !has_full_timeout {
             return spent;
         }
-        match self.shortest_backoff {
-            Some(backoff) if request.client_retry => backoff.min(spent),
+        match self.shortest_time_to_retry {
+            Some(time_to_retry) if request.client_retry => time_to_retry.min(spent),
             _ => Duration::ZERO,
         }
     }
--- a/crates/balancer/src/retry/idempotency.rs
+++ b/crates/balancer/src/retry/idempotency.rs
@@ -6,7 +6,7 @@
 use crate::{EndpointEntry, Idempotency, Scope};
 use std::time::Duration;
 
-/// Returns whether the request may be sent to this endpoint, given the attempts that may have run.
+/// Returns whether the request may be sent to this endpoint, given its attempts that may have run.
 pub(crate) fn allows_attempt(
     request: &PendingRequest,
     endpoint: &EndpointEntry,
@@ -19,12 +19,13 @@
         Idempotency::Idempotent => true,
         Idempotency::NotIdempotent => false,
         Idempotency::Keyed { scope, window } => {
-            shares_keys(scope, &first.endpoint, endpoint) && now < first.started + window
+            share_idempotency_keys(scope, &first.endpoint, endpoint) && now < first.started + window
         }
     }
 }
 
-fn shares_keys(scope: Scope, one: &EndpointEntry, other: &EndpointEntry) -> bool {
+/// Returns whether two endpoints share their idempotency keys.
+fn share_idempotency_keys(scope: Scope, one: &EndpointEntry, other: &EndpointEntry) -> bool {
     match scope {
         Scope::All => true,
         Scope::Zone => one.zone == other.zone,
@@ -48,7 +49,8 @@
 }
 
 /// Returns whether the client may safely retry the request, so that it may be shed rather than
-/// failed. A client's retry may reach endpoints outside a narrower scope than all.
+/// failed. A retry by the client may reach any endpoint, so a request keyed within a zone or cell
+/// must never have run.
 pub(crate) fn client_may_retry(request: &PendingRequest) -> bool {
     match request.idempotency {
         Idempotency::Idempotent
