--- a/crates/balancer/tests/decisions/admission.rs
+++ b/crates/balancer/tests/decisions/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: what is shed when there is more to do than the endpoints can.
+//! Admission control: which requests are shed in an overload.
 
 use crate::support::serve_one;
 use ottertiller_balancer::{Outcome, Tenant};
@@ -10,8 +10,8 @@
 
 /// A response time just within the latency objective of 400 ms.
 const JUST_WITHIN_OBJECTIVE: Duration = Duration::from_millis(390);
-/// The requests in flight that a crowded endpoint reports.
-const CROWDED: f32 = 3.0;
+/// The number of requests in flight that a busy endpoint reports.
+const BUSY: f32 = 3.0;
 
 #[test]
 fn tenant_over_quota_is_shed_first() {
@@ -25,7 +25,7 @@
     ];
     settings.over_quota_weight = 0.1;
     let mut node = NodeSimulation::with_endpoints(settings, 2);
-    // Tenant 0 exceeds its quota, tenant 1 does not; endpoints complete a tenth of the requests.
+    // Tenant 0 exceeds its quota, tenant 1 does not. The endpoints serve a tenth of the requests.
     let (mut sent, mut shed) = ([0, 0], [0, 0]);
     for step in 0..2000 {
         let tenant = usize::from(step % 23 == 0);
@@ -50,7 +50,7 @@
     );
 }
 
-/// A node without any history must not send dozens of requests to an endpoint before its first
+/// A node that has just started must not send dozens of requests to an endpoint before its first
 /// attempt there times out.
 #[test]
 fn fresh_node_limits_requests_in_flight_during_overload() {
@@ -66,10 +66,10 @@
     );
 }
 
-/// Endpoints are already overloaded when nearly all responses arrive just within the latency
-/// objective, so such responses must not open crowding levels.
+/// If nearly all responses arrive just within the latency objective, the endpoints are already
+/// overloaded. Such responses must not open load levels.
 #[test]
-fn responses_near_objective_close_crowding_level() {
+fn responses_near_objective_close_load_levels() {
     let most_in_flight = |response_time: Duration| {
         let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
         let mut most = 0;
@@ -79,7 +79,7 @@
             most = most.max(node.attempts_in_flight().len());
             for attempt in node.attempts_in_flight() {
                 if node.since_first_attempt(attempt.request) >= response_time {
-                    node.end_attempt(attempt, Outcome::Served, Some(CROWDED));
+                    node.end_attempt(attempt, Outcome::Served, Some(BUSY));
                 }
             }
         }
@@ -91,15 +91,15 @@
     );
     assert!(
         quick >= 4 * 4,
-        "{quick} in flight at four endpoints: responses with time to spare open the levels"
+        "{quick} in flight at four endpoints: quick responses open load levels"
     );
     assert!(
         late <= 4 * 2,
-        "{late} in flight at four endpoints: responses at the last moment keep them closed"
+        "{late} in flight at four endpoints: responses near the objective keep levels closed"
     );
 }
 
-/// In an overload, the fraction of requests that is shed depends on their priority.
+/// In an overload, a smaller share of the requests with a higher priority is shed.
 #[test]
 fn higher_priority_is_admitted_first_in_overload() {
     let mut settings = response_report_settings();
@@ -112,15 +112,16 @@
         if !endpoints_attempted(&actions).is_empty() {
             sent[class] += 1;
             node.advance(JUST_WITHIN_OBJECTIVE);
-            node.end_attempt(AttemptId::first(id), Outcome::Served, Some(CROWDED));
+            node.end_attempt(AttemptId::first(id), Outcome::Served, Some(BUSY));
         }
     }
     let [low, high] = [sent[IDEMPOTENT], sent[NOT_IDEMPOTENT]];
     assert!(high > 2 * low && low > 0, "{sent:?}");
 }
 
-/// Hundreds of nodes may overload the endpoints with one request each, while no endpoint looks
-/// crowded to any of them. A node then sheds, and admits all again after the overload.
+/// Hundreds of nodes may overload the endpoints with one request each, so that no node has several
+/// attempts in flight at an endpoint. A node must shed then, and admit all requests again after the
+/// overload.
 #[test]
 fn late_responses_of_idle_endpoints_cause_shedding_and_recovery() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
@@ -131,7 +132,7 @@
             if !endpoints_attempted(&actions).is_empty() {
                 sent += 1;
                 node.advance(response_time);
-                node.end_attempt(AttemptId::first(id), Outcome::Served, Some(CROWDED));
+                node.end_attempt(AttemptId::first(id), Outcome::Served, Some(BUSY));
             }
         }
         sent
@@ -143,13 +144,13 @@
     assert_eq!(sent(&mut node, ms(50)), 200);
 }
 
-/// While endpoints are busy, a heavy request that cannot finish in time would take the place of
-/// many light ones. It is sent if most endpoints are idle.
+/// If endpoints are busy, a heavy request that cannot finish in time would displace many light
+/// ones, and is shed at once. If most endpoints are idle, it is sent.
 #[test]
 fn request_with_cost_beyond_objective_is_shed_at_once() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
     for _ in 0..60 {
-        serve_one(&mut node, CROWDED); // none is idle
+        serve_one(&mut node, BUSY); // no endpoint is idle
     }
     let with_cost = |work| RequestOptions {
         class: NOT_IDEMPOTENT,
@@ -159,7 +160,7 @@
     let (light, heavy) = (with_cost(200), with_cost(420));
     assert!(
         is_shed(&node.request_with(heavy).1),
-        "420 ms of work, 400 to the objective"
+        "420 ms of work do not fit in the 400 ms of the objective"
     );
     assert_eq!(count_attempts(&node.request_with(light).1), 1);
     for _ in 0..200 {
@@ -168,6 +169,6 @@
     assert_eq!(
         count_attempts(&node.request_with(heavy).1),
         1,
-        "most are idle: it may be sent"
+        "most endpoints are idle, so it may be sent"
     );
 }
--- a/crates/balancer/tests/decisions/client_retry.rs
+++ b/crates/balancer/tests/decisions/client_retry.rs
@@ -1,4 +1,4 @@
-//! Retries by clients.
+//! Retries by clients, and the time that a client has already waited.
 
 use ottertiller_balancer::{Action, NewRequest, Outcome, RequestId};
 use ottertiller_balancer_simulation::actions::{count_attempts, is_shed};
@@ -13,7 +13,7 @@
 }
 
 impl RetryingClients {
-    /// Ids above all that the simulation gives.
+    /// Above all ids that the simulation assigns.
     const FIRST_ID: u64 = 1_000_000;
 
     fn new(endpoints: u64) -> Self {
@@ -23,9 +23,9 @@
         }
     }
 
-    /// Sends the first attempt of a client, and returns the actions that follow. `remaining_ms` is
-    /// the time that the client still waits.
-    fn send_first(&mut self, class: usize, remaining_ms: u64) -> Vec<Action> {
+    /// Sends the first try of a client, and returns the actions that follow. `remaining_ms` is the
+    /// time that the client still waits.
+    fn send_first_try(&mut self, class: usize, remaining_ms: u64) -> Vec<Action> {
         self.send(NewRequest {
             class,
             remaining: ms(remaining_ms),
@@ -56,8 +56,8 @@
     }
 }
 
-/// Clients that have timed out send their requests again. Work for responses without value would
-/// sustain an overload.
+/// Clients retry requests that have timed out. If a node sent retries past the latency objective,
+/// the work on worthless responses would sustain an overload.
 #[test]
 fn client_retry_past_latency_objective_is_shed_unsent() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
@@ -70,67 +70,68 @@
             ..NewRequest::default()
         })
     };
-    // A first attempt of a client waits for 450 of the 1000 ms.
+    // The first try of a client waits for 450 of the 1000 ms until its deadline.
     node.request_with(RequestOptions {
         remaining: ms(450),
         ..RequestOptions::default()
     });
     assert!(
         is_shed(&retry(&mut node, 550)),
-        "450 ms have gone by, the objective is 400"
+        "450 ms have passed, the objective is 400 ms"
     );
     assert_eq!(
         count_attempts(&retry(&mut node, 650)),
         1,
-        "350 ms have gone by"
+        "350 ms have passed, the objective is 400 ms"
     );
     assert_eq!(
         count_attempts(&retry(&mut node, 449)),
         1,
-        "like a first attempt: it may have been shed at once"
+        "it waits as long as a first try, which may have been shed at once"
     );
 }
 
-/// Where clients wait before they retry, every retry comes too late. A retry with a shortened
-/// budget looks like a first attempt, so its age is taken from retries that show theirs. Otherwise
-/// each quiet node would serve a few of them without value.
+/// If clients wait long before they retry, every retry comes too late. If they also set a timeout
+/// shorter than the deadline for each try, a retry has the same time left as a first try, so the
+/// time that it has waited is taken from retries of classes without such a timeout. Otherwise each
+/// quiet node would serve a few retries whose responses have no value.
 #[test]
 fn client_retry_age_is_inferred_from_other_retries() {
     let mut clients = RetryingClients::new(6);
-    let (short_class, whole_class) = (IDEMPOTENT, KEYED_EVERYWHERE);
+    let (short_timeout_class, full_timeout_class) = (IDEMPOTENT, KEYED_EVERYWHERE);
     assert_eq!(
-        count_attempts(&clients.send_first(short_class, 450)),
+        count_attempts(&clients.send_first_try(short_timeout_class, 450)),
         1,
-        "its clients wait for 450 of the 1000 ms"
+        "a first try that waits for 450 of the 1000 ms"
     );
     assert_eq!(
-        count_attempts(&clients.send_first(whole_class, 1000)),
+        count_attempts(&clients.send_first_try(full_timeout_class, 1000)),
         1,
-        "theirs wait to the end"
+        "a first try that waits until the deadline"
     );
     assert_eq!(
-        count_attempts(&clients.send_retry(whole_class, 590)),
+        count_attempts(&clients.send_retry(full_timeout_class, 590)),
         0,
-        "410 ms have gone by, the objective is 400"
+        "410 ms have passed, the objective is 400 ms"
     );
     assert_eq!(
-        count_attempts(&clients.send_retry(short_class, 450)),
+        count_attempts(&clients.send_retry(short_timeout_class, 450)),
         0,
-        "it has waited as long as that at least"
+        "it counts as having waited 410 ms too"
     );
     assert_eq!(
-        count_attempts(&clients.send_first(short_class, 450)),
+        count_attempts(&clients.send_first_try(short_timeout_class, 450)),
         1,
-        "a first attempt has not"
+        "a first try has not waited"
     );
     assert_eq!(
-        count_attempts(&clients.send_retry(whole_class, 990)),
+        count_attempts(&clients.send_retry(full_timeout_class, 990)),
         1,
-        "10 ms have gone by"
+        "10 ms have passed"
     );
     assert_eq!(
-        count_attempts(&clients.send_retry(short_class, 450)),
+        count_attempts(&clients.send_retry(short_timeout_class, 450)),
         1,
-        "nor need it have waited for longer"
+        "it now counts as having waited only 10 ms"
     );
 }
--- a/crates/balancer/tests/decisions/deadline.rs
+++ b/crates/balancer/tests/decisions/deadline.rs
@@ -1,4 +1,4 @@
-//! Requests that cannot be served in time, and requests that wait for an endpoint.
+//! Requests that are not served in time, and requests that wait for an endpoint.
 
 use ottertiller_balancer::{Action, EndpointId, ListKind};
 use ottertiller_balancer_simulation::fixtures::classes::NOT_IDEMPOTENT;
--- a/crates/balancer/tests/decisions/endpoint_list.rs
+++ b/crates/balancer/tests/decisions/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: snapshots, deltas, and when it is polled.
+//! The endpoint list: snapshots, deltas, and the polling of the list.
 
 use crate::support::send_request;
 use ottertiller_balancer::{ListKind, Settings};
@@ -22,7 +22,8 @@
     assert_eq!(send_request(&mut node, IDEMPOTENT), [2]);
 }
 
-/// With `poll_endpoints`, the list is polled until a snapshot arrives, and not any more after that.
+/// With `poll_endpoints`, the node polls the list until a snapshot arrives. The snapshot opens a
+/// watch, during which the node does not poll.
 #[test]
 fn failed_poll_is_retried_within_poll_interval() {
     let mut node = NodeSimulation::new(Settings {
@@ -50,9 +51,9 @@
     );
 }
 
-/// The node counts as notified of changes soon after its watch has ended, and discovery handles the
-/// calls of all nodes one after the other. A node therefore must not wait before it reopens its
-/// watch.
+/// A node counts as informed of changes soon after its watch has ended, and discovery handles the
+/// calls of all nodes one after the other. A node therefore must reopen a broken watch at once, but
+/// must pause if the watch breaks again right after it was opened.
 #[test]
 fn broken_watch_is_reopened_at_once_with_any_poll_interval() {
     for interval in [5_000, 20_000, 120_000] {
--- a/crates/balancer/tests/decisions/health_checks.rs
+++ b/crates/balancer/tests/decisions/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks: which requests get them, and what follows from their results.
+//! Health checks: for which requests they are sent, and how their results are used.
 
 use ottertiller_balancer::{EndpointId, Outcome};
 use ottertiller_balancer_simulation::actions::{count_health_checks, endpoints_attempted, is_shed};
@@ -7,7 +7,7 @@
 use ottertiller_balancer_simulation::node::{AttemptId, NodeSimulation, RequestOptions};
 use std::collections::BTreeMap;
 
-/// The requests in flight that a full endpoint reports.
+/// The number of requests in flight that a full endpoint reports.
 const FULL: f32 = 9.0;
 
 #[test]
@@ -33,11 +33,11 @@
 
 #[test]
 fn expensive_health_checks_are_kept_for_heavy_requests() {
-    let checks_sent = |price: f64, idle: &[u64]| {
+    let checks_sent = |cost: f64, idle: &[u64]| {
         let mut settings = health_check_settings();
         settings.node_count = 100;
         settings.weight_by_work = true;
-        settings.cost_weights.health_check = price;
+        settings.cost_weights.health_check = cost;
         let mut node = NodeSimulation::with_endpoints(settings, 8);
         let (mut light, mut heavy) = (0, 0);
         for number in 0..120 {
@@ -71,12 +71,13 @@
         let (light, _) = checks_sent(0.002, idle);
         assert!(
             light >= 80,
-            "cheap health checks are for all: {light} for 100 light requests"
+            "cheap health checks are sent for all: {light} for 100 light requests"
         );
     }
 }
 
-/// Endpoints known to be full must not be replaced by unchecked ones, which are just as full.
+/// If all checked endpoints are full, the request must not go to an unchecked endpoint, which is
+/// likely to be as full.
 #[test]
 fn request_is_shed_when_all_checked_endpoints_are_full() {
     let mut node = NodeSimulation::with_endpoints(health_check_settings(), 3);
@@ -105,7 +106,8 @@
         node.advance(ms(1));
         node.end_health_checks(&[0]);
         node.advance(ms(20));
-        // The endpoint with frozen reports responds too late for most; the others are in time.
+        // The endpoint with frozen reports responds late to most requests; the others respond in
+        // time.
         for attempt in node.attempts_in_flight() {
             let endpoint = node.endpoint_of(attempt).0;
             if endpoint != 0 || step % 40 == 0 {
--- a/crates/balancer/tests/decisions/hedging.rs
+++ b/crates/balancer/tests/decisions/hedging.rs
@@ -1,4 +1,4 @@
-//! Hedged requests: what follows an attempt without a response.
+//! Hedged requests, and the cancellation of an attempt without a response.
 
 use crate::support::play_requests;
 use ottertiller_balancer::Outcome;
@@ -9,8 +9,8 @@
 use ottertiller_balancer_simulation::fixtures::{ms, response_report_settings};
 use ottertiller_balancer_simulation::node::{AttemptId, NodeSimulation};
 
-/// A response that never arrives must not take the whole time of its request. The idempotency of
-/// the class decides whether a second attempt follows.
+/// An attempt without a response must not use up the whole time of its request. Whether a second
+/// attempt follows depends on the idempotency of the class.
 #[test]
 fn silent_attempt_is_followed_by_another_if_class_allows() {
     for (class, may_follow) in [
@@ -35,18 +35,18 @@
     }
 }
 
-/// The endpoint goes on working on a cancelled attempt. Where no two attempts may be in flight, an
-/// attempt is cancelled only when the next one would otherwise come too late.
+/// An endpoint continues to work on a cancelled attempt. If only one attempt may be in flight, it
+/// is therefore cancelled only when the next one would otherwise start too late.
 #[test]
 fn single_attempt_is_cancelled_only_in_time_for_next() {
     for class in [IDEMPOTENT, KEYED_EVERYWHERE] {
         let mut settings = response_report_settings();
         settings.limits.parallel_attempts = false;
         let mut node = NodeSimulation::with_endpoints(settings, 6);
-        // Responses take 30 ms, and nearly all would within 120.
+        // Responses take 30 ms, so an attempt is unusually slow after 120 ms, four times the median.
         play_requests(&mut node, 300, |_| Outcome::Served);
         let (id, _) = node.request(class);
-        // The attempt still waits for a slow response; keyed requests are deduplicated for 300 ms.
+        // The first attempt is still in flight; keyed requests are deduplicated for 300 ms.
         node.advance(ms(250));
         assert_eq!(
             node.attempts_in_flight(),
--- a/crates/balancer/tests/decisions/idempotency.rs
+++ b/crates/balancer/tests/decisions/idempotency.rs
@@ -1,4 +1,4 @@
-//! What may be retried or shed once it may have run.
+//! Which requests may be retried or shed after an attempt that may have run.
 
 use ottertiller_balancer::Outcome;
 use ottertiller_balancer_simulation::actions::{
@@ -54,7 +54,7 @@
         let actions = node.end_attempt(AttemptId::first(id), Outcome::Reset, None);
         assert!(
             is_failed(&actions) && endpoints_attempted(&actions).is_empty(),
-            "the window is over: {actions:?}"
+            "the deduplication window is over: {actions:?}"
         );
     }
 }
--- a/crates/balancer/tests/decisions/join_up_to.rs
+++ b/crates/balancer/tests/decisions/join_up_to.rs
@@ -1,4 +1,4 @@
-//! Join-Up-To(m): which endpoint a request is sent to.
+//! Join-Up-To(m): the selection of an endpoint by send counts.
 
 use crate::support::{AttemptCounts, send_request, serve_one};
 use ottertiller_balancer::{ListKind, Outcome};
@@ -30,12 +30,13 @@
 }
 
 #[test]
-fn only_idle_report_lowers_estimate_below_cap() {
+fn only_idle_report_lowers_send_count_below_cap() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 6);
     for _ in 0..300 {
         serve_one(&mut node, 1.0);
     }
-    // All are at the cap now, so the choice is random; only the one that reports idle is below it.
+    // All send counts are at the cap now, so the choice is random, until one endpoint reports itself
+    // idle and is the only one below the cap.
     let (id, actions) = node.request(IDEMPOTENT);
     node.end_attempt(AttemptId::first(id), Outcome::Served, Some(0.0));
     for _ in 0..3 {
@@ -47,14 +48,14 @@
 }
 
 #[test]
-fn failed_attempt_does_not_lower_estimate() {
+fn failed_attempt_does_not_lower_send_count() {
     let failures = [
         Outcome::Error,
         Outcome::Rejected,
         Outcome::TimedOut,
         Outcome::ConnectFailed,
     ];
-    // Also with a report of nothing in flight: an endpoint that returns quick errors looks idle.
+    // Also with a report of no requests in flight: an endpoint that fails fast reports itself idle.
     let cases = failures
         .iter()
         .flat_map(|outcome| [(*outcome, None), (*outcome, Some(0.0))]);
@@ -64,7 +65,7 @@
         let first = endpoints_attempted(&actions);
         node.end_attempt(AttemptId::first(id), outcome, report);
         if node.unfinished_requests().is_empty() {
-            // The other endpoint has the lower estimate now.
+            // The other endpoint has the lower send count now.
             assert_ne!(
                 send_request(&mut node, NOT_IDEMPOTENT),
                 first,
@@ -81,9 +82,9 @@
     }
 }
 
-/// Crowded endpoints are left out.
+/// Reports of three requests in flight reset no send count, so all endpoints reach the cap.
 #[test]
-fn choice_is_random_with_all_estimates_at_cap() {
+fn choice_is_random_with_all_send_counts_at_cap() {
     let mut used = AttemptCounts::default();
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
     for _ in 0..200 {
@@ -92,7 +93,8 @@
     assert!(used.are_all_within(4, 25..=80), "{used:?}");
 }
 
-/// Attempts of the node itself that are still in flight count, whatever a late load report says.
+/// An idle report must not reset the count of the node's own attempts that are still in flight: the
+/// report may be older than they are.
 #[test]
 fn late_idle_report_does_not_discount_own_attempts() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 2);
@@ -100,7 +102,7 @@
     let busy = endpoints_attempted(&actions)[0];
     let (other, _) = node.request(IDEMPOTENT);
     node.end_attempt(AttemptId::first(other), Outcome::Served, Some(1.0));
-    // A late report of the busy endpoint says idle while that attempt is still in flight.
+    // Every response reports an idle endpoint, while the first attempt is still in flight.
     for _ in 0..50 {
         let (id, actions) = node.request(IDEMPOTENT);
         let to = endpoints_attempted(&actions)[0];
@@ -111,12 +113,12 @@
     assert_ne!(
         send_request(&mut node, IDEMPOTENT),
         [busy],
-        "the idle endpoint has the lower estimate"
+        "the idle endpoint has the lower send count"
     );
 }
 
-/// The estimate of a new endpoint is zero at all nodes, so that each would send it the next
-/// requests.
+/// If the send count of a new endpoint started at zero, all nodes would send it their next requests
+/// at once.
 #[test]
 fn new_endpoint_is_not_joined_by_all_nodes_at_once() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 5);
@@ -134,10 +136,11 @@
     );
 }
 
-/// In an overload, the levels of free endpoints are closed by chance while those of crowded ones,
-/// known to serve, stay open. A request must not choose a crowded endpoint for that reason.
+/// In an overload, a request may by chance not be admitted at an idle endpoint, while the load level
+/// of a busy endpoint, at which attempts were in time, is open. The request must not join the busy
+/// endpoint then.
 #[test]
-fn request_not_admitted_at_free_endpoint_joins_no_busy_one() {
+fn request_not_admitted_at_idle_endpoint_joins_no_busy_one() {
     let mut settings = response_report_settings();
     settings.limits.max_attempts = 1;
     let mut node = NodeSimulation::with_endpoints(settings, 2);
@@ -150,7 +153,7 @@
             }
         }
     }
-    // One endpoint has an attempt in flight, the other is free.
+    // One endpoint has an attempt in flight, the other has none.
     let (blocker, actions) = node.request(NOT_IDEMPOTENT);
     let busy = endpoints_attempted(&actions)[0];
     for _ in 0..60 {
@@ -161,7 +164,7 @@
         assert_ne!(
             endpoints_attempted(&actions),
             [busy],
-            "the free endpoint is open or none is"
+            "a request goes to the idle endpoint or to none"
         );
         node.advance(ms(1));
         node.end_attempt(AttemptId::first(id), Outcome::Rejected, None);
--- a/crates/balancer/tests/decisions/late_attempts.rs
+++ b/crates/balancer/tests/decisions/late_attempts.rs
@@ -1,4 +1,4 @@
-//! Load shedding after late attempts.
+//! Load shedding that follows late attempts.
 
 use crate::support::serve_one;
 use ottertiller_balancer::{Action, Outcome, RequestId, Settings};
@@ -7,14 +7,14 @@
 use ottertiller_balancer_simulation::fixtures::{ms, response_report_settings};
 use ottertiller_balancer_simulation::node::{AttemptId, NodeSimulation, RequestOptions};
 
-/// Returns settings by which a request has one attempt in flight at a time.
+/// Returns settings that allow a request only one attempt in flight at a time.
 fn sequential_attempt_settings() -> Settings {
     let mut settings = response_report_settings();
     settings.limits.parallel_attempts = false;
     settings
 }
 
-/// Ends the attempts in flight of some requests as served.
+/// Ends the attempts in flight of the requests for which `is_served` returns true, as served.
 fn end_attempts_of(node: &mut NodeSimulation, is_served: impl Fn(RequestId) -> bool) {
     for attempt in node.attempts_in_flight() {
         if is_served(attempt.request) {
@@ -23,7 +23,7 @@
     }
 }
 
-/// Plays requests one after another, and counts those that were shed. `play_one` sends one request,
+/// Plays requests one after another, and counts those that were shed. `play_one` sends a request,
 /// ends its attempts, and returns the actions that followed the request.
 fn count_shed(
     node: &mut NodeSimulation,
@@ -35,9 +35,9 @@
         .count()
 }
 
-/// In an overload most first attempts are cancelled before the deadline of their request. A node
-/// that counts only attempts which are late at their deadline would continue to overload the
-/// endpoints.
+/// In an overload, most first attempts are cancelled for a second attempt before the deadline of
+/// their request. If a node counted only attempts that are in flight at the deadline as late, it
+/// would continue to overload the endpoints.
 #[test]
 fn attempt_cancelled_for_next_one_counts_as_late() {
     let settings = sequential_attempt_settings();
@@ -61,8 +61,8 @@
     assert!(shed_of_300(1) > 15, "{} of 300", shed_of_300(1));
 }
 
-/// Where one class takes a second, late attempts of a quick class within that second count all the
-/// same.
+/// An attempt is late by the response times of its own class. If another class takes a second, a
+/// late attempt of a quick class still counts as late within that second.
 #[test]
 fn lateness_is_counted_per_class() {
     let mut settings = sequential_attempt_settings();
@@ -90,10 +90,10 @@
     assert!(shed > 200, "{shed} of 400");
 }
 
-/// Hundreds of nodes with one or two requests each at an endpoint overload it. A node without
-/// others beside it is limited by its crowding levels already, and sheds little.
+/// Hundreds of nodes with one or two requests each at an endpoint overload it, so each must shed. A
+/// single node is limited by its load levels already, and sheds few requests in addition.
 #[test]
-fn late_attempts_at_endpoint_crowded_by_node_cause_shedding() {
+fn late_attempts_at_endpoint_shared_with_other_nodes_cause_shedding() {
     let settings = sequential_attempt_settings();
     let shed = |nodes: u32| {
         let mut node = NodeSimulation::with_endpoints(
@@ -107,7 +107,7 @@
             let (first, actions) = node.request(NOT_IDEMPOTENT);
             node.request(NOT_IDEMPOTENT);
             node.advance(ms(50));
-            // By themselves, so few late attempts would shed nothing.
+            // One in five first attempts is late, which alone would cause no shedding.
             end_attempts_of(node, |id| id == first && n % 5 > 0);
             node.advance(ms(340));
             end_attempts_of(node, |_| true);
@@ -118,7 +118,7 @@
     assert!(shed(1) < 10, "{} of 400", shed(1));
 }
 
-/// If all nodes sent all requests of the highest priority, an overload would never end.
+/// If all nodes sent all of their high-priority requests, an overload would never end.
 #[test]
 fn high_priority_requests_are_also_shed_in_overload() {
     let mut settings = sequential_attempt_settings();
--- a/crates/balancer/tests/decisions/late_events.rs
+++ b/crates/balancer/tests/decisions/late_events.rs
@@ -1,4 +1,4 @@
-//! Events that arrive after what they concern has ended.
+//! Events that arrive after their request, attempt or health check has ended.
 
 use ottertiller_balancer::{
     AttemptEnd, EndpointId, Event, HealthCheckEnd, ListKind, Outcome, Timer,
@@ -51,7 +51,7 @@
 /// an attempt in flight.
 #[test]
 fn no_attempt_starts_after_client_disconnect() {
-    // Queued without an endpoint, which is listed just then.
+    // Queued without an endpoint; endpoints are listed after the client has disconnected.
     let mut node = NodeSimulation::new(response_report_settings());
     node.update_endpoints(ListKind::Snapshot, vec![]);
     let (queued, _) = node.request(IDEMPOTENT);
@@ -65,7 +65,7 @@
         "queued without an endpoint"
     );
 
-    // Queued for health checks, which find an idle endpoint just then.
+    // Queued for health checks; they find an idle endpoint after the client has disconnected.
     let mut node = NodeSimulation::with_endpoints(health_check_settings(), 4);
     let (checked, actions) = node.request(IDEMPOTENT);
     assert!(count_health_checks(&actions) > 0 && count_attempts(&actions) == 0);
@@ -79,8 +79,7 @@
         "queued for health checks"
     );
 
-    // With an attempt in flight that has no response, or ends so that a retry may follow: never
-    // sent, or failed.
+    // With an attempt in flight that gets no response, or ends so that a retry would be allowed.
     for outcome in [
         None,
         Some(Outcome::NotSent),
--- a/crates/balancer/tests/decisions/main.rs
+++ b/crates/balancer/tests/decisions/main.rs
@@ -1,5 +1,5 @@
-//! Tests of single decisions, one module for each concern. The simulation checks the invariants of
-//! a node meanwhile.
+//! Tests of single decisions, one module for each subject. The node simulation checks the
+//! invariants of a node in each test.
 
 mod admission;
 mod client_retry;
--- a/crates/balancer/tests/decisions/outlier.rs
+++ b/crates/balancer/tests/decisions/outlier.rs
@@ -1,4 +1,5 @@
-//! Outlier ejection: failing endpoints are ejected, probed, and never all ejected.
+//! Outlier ejection: failing endpoints are ejected and later probed, but failures of all endpoints
+//! do not eject them all.
 
 use crate::support::{AttemptCounts, outcome_at, play_requests, send_request};
 use ottertiller_balancer::{EndpointId, Outcome};
@@ -28,8 +29,8 @@
 fn failures_of_all_endpoints_do_not_eject_them_all() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 6);
     play_requests(&mut node, 200, |_| Outcome::Error);
-    // Errors lower no estimate, so the first endpoint that serves has the lowest one. Only requests
-    // sent at the same time reach more endpoints.
+    // Errors lower no send count, so the first endpoint that serves has the lowest one. Only
+    // requests sent at the same time reach more endpoints.
     for _ in 0..10 {
         for _ in 0..6 {
             node.request(NOT_IDEMPOTENT);
@@ -75,7 +76,8 @@
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 6);
     play_requests(&mut node, 100, |_| Outcome::Served);
     let ids: Vec<_> = (0..30).map(|_| node.request(NOT_IDEMPOTENT).0).collect();
-    // The node pauses past every objective, and then all its attempts time out at once.
+    // The node pauses for longer than every latency objective, and then all its attempts time out
+    // at once.
     node.now += ms(900);
     node.end_all_attempts(Outcome::TimedOut, None);
     assert!(ids.iter().all(|id| node.is_finished(*id)));
@@ -87,8 +89,7 @@
     assert_eq!(used.len(), 6, "{used:?}");
 }
 
-/// A quiet node with several unreachable endpoints must not send most of its requests there as
-/// probe requests.
+/// If several endpoints are unreachable, a quiet node must not use most of its requests as probes.
 #[test]
 fn probes_of_ejected_endpoints_take_few_requests() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 8);
@@ -99,7 +100,8 @@
     assert!((1..60).contains(&probes), "{used:?}");
 }
 
-/// No minimum number of endpoints stays in use when the node reaches only a few.
+/// Unreachable endpoints are ejected however many they are: the rule that half of the endpoints
+/// stay in use applies to outliers only.
 #[test]
 fn unreachable_majority_of_endpoints_is_ejected() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 10);
--- a/crates/balancer/tests/decisions/retry.rs
+++ b/crates/balancer/tests/decisions/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: where they go, and their budget.
+//! Retries: the choice of another endpoint, and the retry budget.
 
 use ottertiller_balancer::Outcome;
 use ottertiller_balancer_simulation::actions::{count_attempts, endpoints_attempted};
@@ -15,7 +15,8 @@
     assert_ne!(endpoints_attempted(&again), endpoints_attempted(&actions));
 }
 
-/// The budget is two fifths of the requests and a burst; twice the most tokens are allowed for it.
+/// The retry budget allows retries for two fifths of the requests plus a burst of at most 5, the
+/// capacity of the token bucket. This test allows twice that burst.
 #[test]
 fn retries_stay_within_their_budget() {
     const REQUESTS: usize = 500;
--- a/crates/balancer/tests/decisions/slow_start.rs
+++ b/crates/balancer/tests/decisions/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: endpoints that have just started.
+//! Slow start of endpoints that have just started.
 
 use crate::support::play_requests;
 use ottertiller_balancer::{EndpointId, ListKind, Outcome, Rules, Settings};
@@ -25,8 +25,8 @@
 
 #[test]
 fn slow_start_endpoint_gets_at_most_its_share() {
-    // Ten endpoints carry 100 requests a second of three nodes, so each has a capacity of at least
-    // 10 a second.
+    // Three nodes send 100 requests per second to ten endpoints, so each endpoint has a capacity of
+    // at least 10 requests per second.
     let mut node = NodeSimulation::with_endpoints(ten_second_slow_start_settings(), 10);
     let mut sent = Vec::new();
     for step in 0..1500u64 {
@@ -40,8 +40,9 @@
         node.end_all_attempts(Outcome::Served, Some(0.0));
     }
     assert!(!sent.is_empty(), "an endpoint in slow start is used");
-    // This node sends 33 a second, 3.3 to each of the others; its third of 4 x 0.2 x 10 a second
-    // for 1.5 s is 4.
+    // This node sends 33 requests per second, 3.3 to each warm endpoint. Overload factor 4 x initial
+    // capacity 0.2 x 10 requests per second x 1.5 s allow 12 requests, and this node, one of three,
+    // may send 4 of them.
     let start = sent[0];
     let burst = sent.iter().filter(|at| **at < start + ms(1500)).count();
     assert!(burst <= 4, "{burst} requests in the first 1.5 s");
@@ -60,19 +61,19 @@
     let restarted = (0..5).map(|number| started_entry(number, node.now));
     node.update_endpoints(ListKind::Snapshot, restarted.collect());
     let used = play_requests(&mut node, 100, |_| Outcome::Served);
-    // They have three tenths of their capacity.
+    // The endpoints have three tenths of their capacity.
     assert!(used.total() > 20, "{used:?}");
 }
 
-/// Plays 50 requests, within 1.5 s, and returns the attempts at an endpoint.
-fn requests_to(node: &mut NodeSimulation, endpoint: u64) -> usize {
+/// Sends 50 requests within 1.5 s, and returns the number of attempts at an endpoint.
+fn count_requests_to(node: &mut NodeSimulation, endpoint: u64) -> usize {
     play_requests(node, 50, |_| Outcome::Served).at(endpoint)
 }
 
 const HOUR: Duration = Duration::from_secs(3600);
 
-/// Start times as they may be listed for an endpoint that starts now, after the wall clock was
-/// stepped.
+/// Start times that may be listed for an endpoint that starts now, if the wall clock was stepped
+/// before: one minute ago, nine seconds ago, and in one hour.
 const LISTED_STARTS: [fn(Duration) -> Duration; 3] = [
     |now| now.saturating_sub(ms(60_000)),
     |now| now.saturating_sub(ms(9_000)),
@@ -95,13 +96,15 @@
                     _ => vec![changed],
                 };
                 node.update_endpoints(kind, entries);
-                let burst = requests_to(&mut node, id);
+                let burst = count_requests_to(&mut node, id);
                 assert!(
                     burst <= 4,
                     "endpoint {id} listed as {started:?}: {burst} in the first 1.5 s"
                 );
                 play_requests(&mut node, 400, |_| Outcome::Served);
-                let warm = (0..4).map(|_| requests_to(&mut node, id)).sum::<usize>();
+                let warm = (0..4)
+                    .map(|_| count_requests_to(&mut node, id))
+                    .sum::<usize>();
                 assert!(
                     warm >= 10,
                     "endpoint {id} listed as {started:?}: {warm} in 6 s once it is warm"
@@ -111,8 +114,8 @@
     }
 }
 
-/// The node starts after the wall clock was stepped. An endpoint that its cached list does not have
-/// is new, whatever start time is listed.
+/// If the node starts after the wall clock was stepped, listed start times do not tell how old an
+/// endpoint is. An endpoint that is missing from the cached list is new, whatever its start time.
 #[test]
 fn endpoint_not_in_cached_list_slow_starts_despite_clock_step() {
     for listed_start in LISTED_STARTS {
@@ -124,8 +127,10 @@
             ListKind::Snapshot,
             (0..10).map(entry).chain([new]).collect(),
         );
-        // A warm endpoint gets 13 or 14 of these.
-        let sent = (0..3).map(|_| requests_to(&mut node, 10)).sum::<usize>();
+        // A warm endpoint would get 13 or 14 of these requests.
+        let sent = (0..3)
+            .map(|_| count_requests_to(&mut node, 10))
+            .sum::<usize>();
         assert!(
             sent <= 9,
             "listed as {started:?}: {sent} in its first 4.5 s"
@@ -133,7 +138,8 @@
     }
 }
 
-/// Where the clocks agree, the capacity that an endpoint gained before it was listed counts.
+/// If the wall clock was not stepped, the capacity that an endpoint gained before it was listed
+/// counts.
 #[test]
 fn plausible_listed_start_time_is_used() {
     let mut settings = ten_second_slow_start_settings();
@@ -144,6 +150,6 @@
     let started = node.now - listed_late;
     node.update_endpoints(ListKind::Delta, vec![started_entry(10, started)]);
     node.advance(ms(10_000) - listed_late);
-    // Warm by now: it is sent requests without a permit.
-    assert!(requests_to(&mut node, 10) >= 2);
+    // The endpoint is warm by now, and is sent requests without a permit.
+    assert!(count_requests_to(&mut node, 10) >= 2);
 }
--- a/crates/balancer/tests/decisions/subset.rs
+++ b/crates/balancer/tests/decisions/subset.rs
@@ -1,4 +1,4 @@
-//! Subsetting: how many of many endpoints a node uses.
+//! Subsetting: how many of the listed endpoints a node uses.
 
 use crate::support::serve_one;
 use ottertiller_balancer::Settings;
@@ -6,7 +6,7 @@
 use ottertiller_balancer_simulation::node::NodeSimulation;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// If each node connected to each endpoint, most connects would fail.
+/// If each node connected to each endpoint, most connection attempts would fail.
 #[test]
 fn costly_connections_lead_to_small_and_balanced_subsets() {
     let mut settings = response_report_settings();
@@ -30,7 +30,7 @@
     assert!(nodes_of.len() == 20 && fewest == most, "{nodes_of:?}");
 }
 
-/// Among dozens of endpoints, a quiet node would use each too seldom to learn which are slow.
+/// With dozens of endpoints, a quiet node would send to each too rarely to learn which are slow.
 #[test]
 fn quiet_node_uses_only_endpoints_it_can_observe() {
     let endpoints_used = |pause: u64| {
@@ -52,8 +52,8 @@
     );
 }
 
-/// Each event looks at each endpoint of the subset several times, which would take all the CPU with
-/// hundreds of endpoints.
+/// Each event iterates over the endpoints of the subset several times. With hundreds of endpoints
+/// in the subset, this would take all the CPU time.
 #[test]
 fn subset_size_does_not_grow_with_endpoint_list() {
     let mut node = NodeSimulation::with_endpoints(response_report_settings(), 500);
--- a/crates/balancer/tests/decisions/support.rs
+++ b/crates/balancer/tests/decisions/support.rs
@@ -1,4 +1,4 @@
-//! Requests played one after another, and the endpoints that were used.
+//! Helpers that send requests one after another and count the attempts at each endpoint.
 
 use ottertiller_balancer::Outcome;
 use ottertiller_balancer_simulation::actions::endpoints_attempted;
@@ -7,12 +7,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The time that [`serve_one`] takes.
+/// The time in which [`serve_one`] serves a request.
 const SERVE_TIME: Duration = Duration::from_millis(20);
-/// The time that each request of [`play_requests`] takes.
+/// The time in which the attempts of each request of [`play_requests`] end.
 pub(crate) const PLAY_TIME: Duration = Duration::from_millis(30);
 
-/// The attempts at each endpoint.
+/// The number of attempts at each endpoint.
 #[derive(Debug, Default)]
 pub(crate) struct AttemptCounts(BTreeMap<u64, usize>);
 
@@ -40,7 +40,7 @@
         self.0.values().sum()
     }
 
-    /// Returns whether all endpoints 0, 1, ... `endpoints - 1`, and no others, have a number of
+    /// Returns whether this number of endpoints have had attempts, and each of them a number of
     /// attempts within this range.
     pub(crate) fn are_all_within(
         &self,
@@ -57,8 +57,8 @@
     endpoints_attempted(&actions)
 }
 
-/// Sends a request that is served at once, and returns its endpoint. `in_flight` is what the
-/// endpoint reports with its response.
+/// Sends a request that is served after [`SERVE_TIME`], and returns its endpoint, which reports
+/// `in_flight` requests with its response.
 pub(crate) fn serve_one(node: &mut NodeSimulation, in_flight: f32) -> u64 {
     let (id, actions) = node.request(IDEMPOTENT);
     let attempted = endpoints_attempted(&actions);
@@ -72,8 +72,9 @@
     attempted[0]
 }
 
-/// Plays `count` requests, one every [`PLAY_TIME`]; `outcome` says how an attempt at an endpoint
-/// ends after that time. Returns the attempts at each endpoint.
+/// Sends `count` requests, one every [`PLAY_TIME`]. All attempts in flight end after that time, at
+/// each endpoint with the outcome that `outcome` returns for it. Returns the number of attempts at
+/// each endpoint.
 pub(crate) fn play_requests(
     node: &mut NodeSimulation,
     count: usize,
@@ -92,8 +93,8 @@
     attempts
 }
 
-/// Returns a function for [`play_requests`] by which these endpoints have an outcome of their own,
-/// and the others serve.
+/// Returns an outcome function for [`play_requests`]: attempts at these endpoints end with
+/// `outcome`, and all others are served.
 pub(crate) fn outcome_at(
     endpoints: std::ops::Range<u64>,
     outcome: Outcome,
--- a/crates/balancer/tests/decisions/unusual_settings.rs
+++ b/crates/balancer/tests/decisions/unusual_settings.rs
@@ -1,4 +1,4 @@
-//! Unusual settings: one node, free health checks, no load reports, no slow start.
+//! Unusual settings: a single node, free health checks, no load reports, no slow start.
 
 use ottertiller_balancer::{CostWeights, ListKind, Outcome, Rules, Settings};
 use ottertiller_balancer_simulation::fixtures::classes::NOT_IDEMPOTENT;
