--- a/crates/balancer/src/balancer/feedback.rs
+++ b/crates/balancer/src/balancer/feedback.rs
@@ -61,8 +61,9 @@
         }
     }
 
-    /// Records the result of a health check, and routes the queued requests again. After the last
-    /// health check in flight, no request stays queued.
+    /// Records the result of a health check, and routes the queued requests again. If no other
+    /// health check is in flight, they leave the queue first, so that each is sent, gets further
+    /// health checks or is rejected.
     pub(super) fn on_health_check_ended(&mut self, end: HealthCheckEnd, actions: &mut Vec<Action>) {
         if let Some(endpoint) = self.endpoints.get_mut(end.endpoint) {
             endpoint.check_in_flight = false;
--- a/crates/balancer/src/balancer/life_cycle.rs
+++ b/crates/balancer/src/balancer/life_cycle.rs
@@ -11,13 +11,15 @@
 
 impl Balancer {
     /// Registers a new request and routes it, or rejects it at once if it cannot finish in time.
-    pub(super) fn on_request(&mut self, new: NewRequest, actions: &mut Vec<Action>) {
-        let class = new.class.min(self.settings.classes.len() - 1);
-        let deadline = self.effective_deadline(&new, class);
-        let relative_work = self.declared_work.record(new.cost_hint);
+    pub(super) fn on_request(&mut self, new_request: NewRequest, actions: &mut Vec<Action>) {
+        let class = new_request.class.min(self.settings.classes.len() - 1);
+        let deadline = self.effective_deadline(&new_request, class);
+        let relative_work = self.declared_work.record(new_request.cost_hint);
         self.slow_start.record_arrival(relative_work, self.now);
         self.retry_budget.deposit();
-        let priority = self.priorities.record_request(class, new.tenant, self.now);
+        let priority = self
+            .priorities
+            .record_request(class, new_request.tenant, self.now);
         let request = PendingRequest {
             class,
             idempotency: self.settings.classes[class].idempotency,
@@ -27,17 +29,17 @@
             attempts: Vec::new(),
             stage: self.initial_stage(),
         };
-        self.requests.insert(new.id, request);
+        self.requests.insert(new_request.id, request);
         let time_left = deadline.saturating_sub(self.now);
         let busy_share = self.join_up_to.busy_share();
-        if admission::cannot_finish_in_time(new.cost_hint, time_left, busy_share) {
-            return self.reject(new.id, actions);
+        if admission::cannot_finish_in_time(new_request.cost_hint, time_left, busy_share) {
+            return self.reject(new_request.id, actions);
         }
         actions.push(Action::SetTimer {
             after: time_left,
-            timer: Timer::Request(new.id),
+            timer: Timer::Request(new_request.id),
         });
-        self.route(new.id, actions);
+        self.route(new_request.id, actions);
     }
 
     fn initial_stage(&self) -> RequestStage {
@@ -54,15 +56,15 @@
     /// and the class gives no weight to late responses. The objective counts from the first try of
     /// the client. The client disconnects at its deadline and a timer fires up to one tick late, so
     /// the deadline is set two ticks early.
-    fn effective_deadline(&mut self, new: &NewRequest, class: usize) -> Duration {
-        let time_spent = self.client_retries.time_spent(new, class);
+    fn effective_deadline(&mut self, new_request: &NewRequest, class: usize) -> Duration {
+        let time_spent = self.client_retries.time_spent(new_request, class);
         let class = &self.settings.classes[class];
-        let deadline = self.now + new.remaining.saturating_sub(2 * self.settings.tick);
+        let deadline = self.now + new_request.remaining.saturating_sub(2 * self.settings.tick);
         if class.late_weight > 0.0 {
             return deadline;
         }
         let stretch = class.objective_stretch.clamp(0.0, MAX_OBJECTIVE_STRETCH);
-        let extension = new.cost_hint.unwrap_or_default().mul_f64(stretch);
+        let extension = new_request.cost_hint.unwrap_or_default().mul_f64(stretch);
         let objective = (self.now + class.latency_objective + extension).saturating_sub(time_spent);
         deadline.min(objective)
     }
--- a/crates/balancer/src/balancer/routing.rs
+++ b/crates/balancer/src/balancer/routing.rs
@@ -41,8 +41,8 @@
     /// Do nothing: the request is closed, is queued for health checks, or has an attempt in flight
     /// that may be served.
     Wait,
-    /// Route the request again later. No endpoint is eligible: none is listed, or all listed ones
-    /// are in slow start and have no permit.
+    /// Route the request again later. No endpoint is eligible: none is ready, or all ready ones are
+    /// in slow start and have no permit for it.
     WaitForEndpoint,
     /// Send the request to this endpoint.
     Send(EndpointId),
@@ -78,6 +78,7 @@
         }
     }
 
+    /// Decides whether an attempt at a request may start now, and at which endpoint.
     fn decide_route(
         &self,
         id: RequestId,
@@ -103,11 +104,12 @@
         match (eligible.is_empty(), is_retry) {
             (true, true) => RoutingDecision::Reject,
             (true, false) => RoutingDecision::WaitForEndpoint,
-            (false, _) => self.choose_endpoint(id, request, eligible, draws),
+            (false, _) => self.select_endpoint(id, request, eligible, draws),
         }
     }
 
-    fn choose_endpoint(
+    /// Selects one of the eligible endpoints: steps 2 to 5 of the module documentation.
+    fn select_endpoint(
         &self,
         id: RequestId,
         request: &PendingRequest,
@@ -190,6 +192,7 @@
         }
     }
 
+    /// Queues a request until a health check ends, for a limited time.
     fn queue_for_health_checks(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         self.queued.enqueue(id);
         actions.push(Action::SetTimer {
--- a/crates/balancer/src/health/observation.rs
+++ b/crates/balancer/src/health/observation.rs
@@ -7,10 +7,10 @@
 use crate::{AttemptEnd, Outcome, RequestClass};
 use std::time::Duration;
 
-/// The quarters of its time that an attempt may take before it is near its deadline.
-const MAX_QUARTERS: u32 = 3;
+/// An attempt is near its deadline if it has taken more than this many quarters of its time.
+const NEAR_DEADLINE_QUARTERS: u32 = 3;
 /// The same for a class in which late responses have a weight.
-const MAX_QUARTERS_WITH_LATE_WEIGHT: u32 = 5;
+const NEAR_DEADLINE_QUARTERS_WITH_LATE_WEIGHT: u32 = 5;
 
 /// Whether an endpoint responds in time at the load that it had when an attempt started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -104,10 +104,10 @@
     class: &RequestClass,
 ) -> bool {
     let time_left = request.deadline - attempt.started;
-    let max_quarters = if class.late_weight > 0.0 {
-        MAX_QUARTERS_WITH_LATE_WEIGHT
+    let quarters = if class.late_weight > 0.0 {
+        NEAR_DEADLINE_QUARTERS_WITH_LATE_WEIGHT
     } else {
-        MAX_QUARTERS
+        NEAR_DEADLINE_QUARTERS
     };
-    4 * end.elapsed > max_quarters * class.latency_objective.min(time_left)
+    4 * end.elapsed > quarters * class.latency_objective.min(time_left)
 }
--- a/crates/balancer/src/retry/hedging.rs
+++ b/crates/balancer/src/retry/hedging.rs
@@ -10,8 +10,8 @@
 /// The delay of a hedged request, as a multiple of the median response time. If response times are
 /// exponentially distributed, one response in sixteen takes longer.
 const DELAY_IN_MEDIANS: f64 = 4.0;
-/// The fraction of the delay after which it counts as over.
-const DELAY_TOLERANCE: f64 = 0.99;
+/// The fraction of the delay after which the timer of a hedged request counts as expired.
+const EXPIRED_DELAY_FRACTION: f64 = 0.99;
 /// The maximum number of attempts of a request in flight at once.
 const MAX_PARALLEL_ATTEMPTS: usize = 2;
 /// The maximum multiple of the mean work that lengthens the delay.
@@ -71,15 +71,15 @@
             return true;
         };
         let delay = self.hedge_delay(request, median);
-        let delay_is_over = now >= last.started + delay.mul_f64(DELAY_TOLERANCE);
+        let delay_is_over = now >= last.started + delay.mul_f64(EXPIRED_DELAY_FRACTION);
         self.parallel_attempts && request.in_flight() < MAX_PARALLEL_ATTEMPTS && delay_is_over
     }
 
     /// Plans an attempt that starts now, and reserves time for one more if there may be one.
     ///
     /// If only one attempt may be in flight, this one must be abandoned before the next starts. Its
-    /// endpoint usually continues to work on it, so it is abandoned as late as possible: when the
-    /// time left is the hedge delay.
+    /// endpoint usually continues to work on it, so it is abandoned as late as possible: one hedge
+    /// delay before the deadline, or at the end of the time in which a retry is allowed.
     pub(crate) fn plan(
         &self,
         request: &PendingRequest,
--- a/crates/balancer/src/routing/subset.rs
+++ b/crates/balancer/src/routing/subset.rs
@@ -26,7 +26,8 @@
 const MAX_SUBSET_SIZE: usize = 64;
 
 /// The size of a subset's neighborhood, as a multiple of the size of the subset. The neighborhood
-/// is the subset and the endpoints that follow it on the ring.
+/// is the subset and the endpoints that follow it on the ring, which replace endpoints of the
+/// subset that are not eligible.
 pub(crate) const NEIGHBORHOOD_FACTOR: usize = 2;
 
 /// Computes the size of a node's subset.
