--- a/crates/balancer/src/balancer/endpoint_list.rs
+++ b/crates/balancer/src/balancer/endpoint_list.rs
@@ -42,7 +42,7 @@
     /// count of this node's subset.
     fn apply_endpoint_list(&mut self, kind: ListKind, entries: Vec<EndpointEntry>) {
         let initial_send_count = self.endpoints.mean_send_count(self.subset_size());
-        let had_listed_endpoints = self.endpoints.has_listed_endpoints();
+        let had_listed_endpoints = self.endpoints.has_ever_listed_endpoints();
         let (start_times, now) = (&self.start_times, self.now);
         self.endpoints.apply(kind, entries, |entry| {
             let started = start_times.resolve(entry, had_listed_endpoints, now);
--- a/crates/balancer/src/balancer/routing.rs
+++ b/crates/balancer/src/balancer/routing.rs
@@ -61,8 +61,8 @@
     /// Makes a routing decision on a request, and carries it out.
     pub(super) fn route(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let draws = RandomDraws {
-            admission: self.random.unit(),
-            tie_break: self.random.unit(),
+            admission: self.random.uniform(),
+            tie_break: self.random.uniform(),
         };
         let subset_size = self.subset_size();
         self.slow_start
--- a/crates/balancer/src/health/outlier_ejection.rs
+++ b/crates/balancer/src/health/outlier_ejection.rs
@@ -55,8 +55,12 @@
         signal: HealthSignal,
     ) -> EjectionAdvice {
         endpoint.health.record(signal);
-        smooth(&mut self.failure_rate, signal.failure(), SMOOTHING / 2.0);
-        if signal.failure() < 1.0 {
+        smooth(
+            &mut self.failure_rate,
+            signal.failure_score(),
+            SMOOTHING / 2.0,
+        );
+        if signal.failure_score() < 1.0 {
             endpoint.health.restore();
             return EjectionAdvice::Keep;
         }
--- a/crates/balancer/src/priority.rs
+++ b/crates/balancer/src/priority.rs
@@ -9,7 +9,7 @@
 const MAX_PRIORITY: f64 = 1e3;
 /// The lower bound on the objective's weight of the whole time, by which the weight of the
 /// worst-served class is divided.
-const MIN_WHOLE_WEIGHT: f64 = SMOOTHING;
+const MIN_OVERALL_WEIGHT: f64 = SMOOTHING;
 /// The lower bound on the mean weight that a request's weight is divided by.
 const MIN_MEAN_WEIGHT: f64 = 1e-9;
 
@@ -23,7 +23,7 @@
     /// The objective's weight of the worst-served class.
     worst_class_weight: f64,
     /// The objective's weight of the whole time.
-    whole_weight: f64,
+    overall_weight: f64,
     /// The moving average of the weights of requests.
     mean_weight: f64,
 }
@@ -44,7 +44,7 @@
                 .collect(),
             over_quota_weight: settings.over_quota_weight,
             worst_class_weight: settings.objective_weights.worst_class,
-            whole_weight: settings.objective_weights.whole.max(MIN_WHOLE_WEIGHT),
+            overall_weight: settings.objective_weights.overall.max(MIN_OVERALL_WEIGHT),
             mean_weight: class_weights.iter().sum::<f64>() / class_weights.len().max(1) as f64,
             class_weights,
         }
@@ -62,7 +62,7 @@
         };
         let weight = self.class_weights[class] * factor;
         smooth(&mut self.mean_weight, weight, SLOW_SMOOTHING);
-        let even_part = self.mean_weight * self.worst_class_weight / self.whole_weight;
+        let even_part = self.mean_weight * self.worst_class_weight / self.overall_weight;
         let relative = (weight + even_part) / (self.mean_weight + even_part).max(MIN_MEAN_WEIGHT);
         relative.clamp(0.0, MAX_PRIORITY)
     }
--- a/crates/balancer/src/retry/hedging.rs
+++ b/crates/balancer/src/retry/hedging.rs
@@ -47,7 +47,7 @@
     /// Returns the hedging that the settings permit.
     pub(crate) fn new(settings: &Settings) -> Self {
         Hedging {
-            parallel_attempts: settings.limits.parallel_attempts,
+            parallel_attempts: settings.limits.allow_parallel_attempts,
             tick: settings.tick,
         }
     }
--- a/crates/balancer/src/routing/slow_start.rs
+++ b/crates/balancer/src/routing/slow_start.rs
@@ -7,7 +7,7 @@
 //! hundreds of quiet nodes could accumulate permits and spend them in one burst.
 
 use crate::endpoints::{Endpoint, EndpointSet, Permit};
-use crate::estimates::EndpointShare;
+use crate::estimates::WarmEndpointRate;
 use crate::numeric::Random;
 use crate::routing::starting_capacity::StartingCapacity;
 use crate::routing::subset::NEIGHBORHOOD_FACTOR;
@@ -35,7 +35,7 @@
     load_factor: f64,
     permit_lifetime: Duration,
     /// The work that a warm endpoint serves for this node.
-    share: EndpointShare,
+    warm_endpoint_rate: WarmEndpointRate,
 }
 
 impl SlowStart {
@@ -46,24 +46,24 @@
             capacity: StartingCapacity::new(rules),
             load_factor: load_factor(rules),
             permit_lifetime: rules.overload_window / 2,
-            share: EndpointShare::new(settings),
+            warm_endpoint_rate: WarmEndpointRate::new(settings),
         }
     }
 
     /// Records that this node has started.
     pub(crate) fn start(&mut self, now: Duration) {
-        self.share.start(now);
+        self.warm_endpoint_rate.start(now);
     }
 
     /// Records work that has arrived.
     pub(crate) fn record_arrival(&mut self, work: f64, now: Duration) {
-        self.share.record_arrival(work, now);
+        self.warm_endpoint_rate.record_arrival(work, now);
     }
 
     /// Records work that an endpoint has served; only that of warm endpoints counts.
     pub(crate) fn record_served(&mut self, endpoint: &Endpoint, work: f64, now: Duration) {
         if self.capacity.is_warm(endpoint, now) {
-            self.share.record_served(work, now);
+            self.warm_endpoint_rate.record_served(work, now);
         }
     }
 
@@ -88,14 +88,14 @@
             .filter(|endpoint| !self.capacity.is_warm(endpoint, now))
             .map(|endpoint| endpoint.entry.id)
             .collect();
-        self.update_share(endpoints, subset_size, now);
+        self.update_warm_endpoint_rate(endpoints, subset_size, now);
         for id in starting {
-            let draw = random.unit();
+            let draw = random.uniform();
             let Some(endpoint) = endpoints.get_mut(id) else {
                 continue;
             };
             let capacity = self.capacity.guaranteed_fraction(endpoint, now);
-            let rate = self.load_factor * capacity * self.share.peak();
+            let rate = self.load_factor * capacity * self.warm_endpoint_rate.peak();
             self.draw_permit(&mut endpoint.permit, rate, draw, now);
         }
     }
@@ -112,13 +112,18 @@
     }
 
     /// Updates the estimate of the work that a warm endpoint serves for this node.
-    fn update_share(&mut self, endpoints: &EndpointSet, subset_size: usize, now: Duration) {
+    fn update_warm_endpoint_rate(
+        &mut self,
+        endpoints: &EndpointSet,
+        subset_size: usize,
+        now: Duration,
+    ) {
         let warm = endpoints
             .ring()
             .take(subset_size)
             .filter(|endpoint| self.capacity.is_warm(endpoint, now))
             .count();
         let used = subset_size.min(endpoints.ready_count());
-        self.share.update(warm, used, now);
+        self.warm_endpoint_rate.update(warm, used, now);
     }
 }
--- a/crates/balancer/tests/decisions/hedging.rs
+++ b/crates/balancer/tests/decisions/hedging.rs
@@ -20,7 +20,7 @@
     ] {
         for parallel in [false, true] {
             let mut settings = response_report_settings();
-            settings.limits.parallel_attempts = parallel;
+            settings.limits.allow_parallel_attempts = parallel;
             let mut node = NodeSimulation::with_endpoints(settings, 6);
             play_requests(&mut node, 100, |_| Outcome::Served); // responses take 30 ms
             let (id, _) = node.request(class);
@@ -41,9 +41,9 @@
 fn single_attempt_is_cancelled_only_in_time_for_next() {
     for class in [IDEMPOTENT, KEYED_EVERYWHERE] {
         let mut settings = response_report_settings();
-        settings.limits.parallel_attempts = false;
+        settings.limits.allow_parallel_attempts = false;
         let mut node = NodeSimulation::with_endpoints(settings, 6);
-        // Responses take 30 ms, so an attempt is unusually slow after 120 ms, four times the median.
+        // Responses take 30 ms, so an attempt is unusually slow after 120 ms, four times that.
         play_requests(&mut node, 300, |_| Outcome::Served);
         let (id, _) = node.request(class);
         // The first attempt is still in flight; keyed requests are deduplicated for 300 ms.
--- a/crates/balancer/tests/decisions/join_up_to.rs
+++ b/crates/balancer/tests/decisions/join_up_to.rs
@@ -35,8 +35,8 @@
     for _ in 0..300 {
         serve_one(&mut node, 1.0);
     }
-    // All send counts are at the cap now, so the choice is random, until one endpoint reports itself
-    // idle and is the only one below the cap.
+    // All send counts are at the cap now, so the choice is random, until one endpoint reports
+    // itself idle and is the only one below the cap.
     let (id, actions) = node.request(IDEMPOTENT);
     node.end_attempt(AttemptId::first(id), Outcome::Served, Some(0.0));
     for _ in 0..3 {
@@ -136,9 +136,9 @@
     );
 }
 
-/// In an overload, a request may by chance not be admitted at an idle endpoint, while the load level
-/// of a busy endpoint, at which attempts were in time, is open. The request must not join the busy
-/// endpoint then.
+/// In an overload, a request may by chance not be admitted at an idle endpoint, while the load
+/// level of a busy endpoint, at which attempts were in time, is open. The request must not join the
+/// busy endpoint then.
 #[test]
 fn request_not_admitted_at_idle_endpoint_joins_no_busy_one() {
     let mut settings = response_report_settings();
--- a/crates/balancer/tests/decisions/slow_start.rs
+++ b/crates/balancer/tests/decisions/slow_start.rs
@@ -40,9 +40,9 @@
         node.end_all_attempts(Outcome::Served, Some(0.0));
     }
     assert!(!sent.is_empty(), "an endpoint in slow start is used");
-    // This node sends 33 requests per second, 3.3 to each warm endpoint. Overload factor 4 x initial
-    // capacity 0.2 x 10 requests per second x 1.5 s allow 12 requests, and this node, one of three,
-    // may send 4 of them.
+    // This node sends 33 requests per second, 3.3 to each warm endpoint. Overload factor 4 x
+    // initial capacity 0.2 x 10 requests per second x 1.5 s allow 12 requests, and this node, one
+    // of three, may send 4 of them.
     let start = sent[0];
     let burst = sent.iter().filter(|at| **at < start + ms(1500)).count();
     assert!(burst <= 4, "{burst} requests in the first 1.5 s");
