--- a/crates/balancer/src/retry/client_retry.rs
+++ b/crates/balancer/src/retry/client_retry.rs
@@ -1,7 +1,7 @@
 //! Retries by clients: estimates how long a client has already waited when its request arrives.
 //! Work for a client that is past its latency objective has no value and prolongs an overload.
 //!
-//! A client waits for the deadline of the class in all, over all its tries, and
+//! A client waits until the deadline of the class, over all its tries together, and
 //! [`NewRequest::remaining`] is how long it waits for the present try. If a try may last until the
 //! deadline, the time spent is `deadline - remaining`. If clients set a shorter timeout for each
 //! try, this holds only once the time left is shorter than that timeout. Until then, a request that
--- a/crates/balancer/src/routing/start_time.rs
+++ b/crates/balancer/src/routing/start_time.rs
@@ -49,9 +49,9 @@
     /// with another start time than before; `None` if it started long ago. An implausible start
     /// time is replaced by `now`.
     ///
-    /// `is_new_to_list` tells that an earlier list did not contain the endpoint with this start
-    /// time; a start long before `now` is then implausible. Without an earlier list, the node has
-    /// only the wall clock to go by.
+    /// `is_new_to_list` is true if there was an earlier list, which did not contain the endpoint
+    /// with this start time; a start long before `now` is then implausible. Without an earlier
+    /// list, the node has only the wall clock to go by.
     pub(crate) fn resolve(
         &self,
         entry: &EndpointEntry,
--- a/crates/balancer/src/routing/subset.rs
+++ b/crates/balancer/src/routing/subset.rs
@@ -1,5 +1,5 @@
-//! Subsetting: the number of endpoints that a node uses. Its subset is the first endpoints of that
-//! number on the ring, counted from the node's own place (`endpoints/ring.rs`).
+//! Subsetting: the number of endpoints that a node uses. If that number is n, the subset is the
+//! first n endpoints on the ring from the node's own place (`endpoints/ring.rs`).
 
 use crate::Settings;
 use crate::numeric::{DecayingRate, Seconds};
--- a/crates/balancer/tests/decisions/admission.rs
+++ b/crates/balancer/tests/decisions/admission.rs
@@ -61,7 +61,7 @@
     }
     assert!(
         node.attempts_in_flight().len() <= 4 * 2,
-        "{} in flight at four silent endpoints",
+        "{} in flight at four unresponsive endpoints",
         node.attempts_in_flight().len()
     );
 }
--- a/crates/balancer/tests/decisions/hedging.rs
+++ b/crates/balancer/tests/decisions/hedging.rs
@@ -12,7 +12,7 @@
 /// An attempt without a response must not use up the whole time of its request. Whether a second
 /// attempt follows depends on the idempotency of the class.
 #[test]
-fn silent_attempt_is_followed_by_another_if_class_allows() {
+fn unanswered_attempt_is_followed_by_another_if_class_allows() {
     for (class, may_follow) in [
         (IDEMPOTENT, true),
         (NOT_IDEMPOTENT, false),
--- a/crates/balancer/tests/decisions/outlier.rs
+++ b/crates/balancer/tests/decisions/outlier.rs
@@ -64,10 +64,10 @@
             }
         }
     }
-    let silent = count_attempts_at(&node.actions, EndpointId(0));
+    let unresponsive = count_attempts_at(&node.actions, EndpointId(0));
     assert!(
-        silent < 20,
-        "{silent} of 200 attempts at the silent endpoint, {used:?}"
+        unresponsive < 20,
+        "{unresponsive} of 200 attempts at the unresponsive endpoint, {used:?}"
     );
 }
 
--- a/crates/balancer/tests/decisions/support.rs
+++ b/crates/balancer/tests/decisions/support.rs
@@ -65,7 +65,7 @@
     assert_eq!(
         attempted.len(),
         1,
-        "a request is sent to a free endpoint at once: {actions:?}"
+        "the request must be sent to exactly one endpoint at once: {actions:?}"
     );
     node.advance(SERVE_TIME);
     node.end_attempt(AttemptId::first(id), Outcome::Served, Some(in_flight));
