--- a/crates/xtask/src/citations/page.rs
+++ b/crates/xtask/src/citations/page.rs
@@ -1,10 +1,10 @@
-//! Code spans in Markdown.
+//! Extracts the code spans of a Markdown page.
 
-/// The heading of the section with names of earlier versions.
-const RENAMED: &str = "Renamed";
+/// The heading of a section whose tables list old names in the first column.
+const RENAMED_HEADING: &str = "Renamed";
 
-/// Returns the text of each pair of backticks with the number of its line. Fenced blocks are left
-/// out, and so are old names.
+/// Returns the text between each pair of backticks with its line number, from 1. Skips fenced code
+/// blocks and the first table column of sections headed [`RENAMED_HEADING`].
 pub(super) fn code_spans(page: &str) -> Vec<(usize, &str)> {
     let mut spans = Vec::new();
     let mut in_fence = false;
@@ -14,7 +14,7 @@
             in_fence = !in_fence;
         } else if !in_fence {
             if line.starts_with('#') {
-                in_renamed = line.trim_start_matches('#').trim() == RENAMED;
+                in_renamed = line.trim_start_matches('#').trim() == RENAMED_HEADING;
             }
             let text = if in_renamed {
                 without_first_cell(line)
@@ -28,7 +28,7 @@
     spans
 }
 
-/// Returns a row of a table without its first column, and any other line as it is.
+/// Returns a table row without its first cell, and any other line unchanged.
 fn without_first_cell(line: &str) -> &str {
     let row = line.strip_prefix('|');
     let cells = row.and_then(|row| row.split_once('|'));
--- a/crates/xtask/src/citations/symbols.rs
+++ b/crates/xtask/src/citations/symbols.rs
@@ -1,4 +1,4 @@
-//! What can be cited: tests, functions and files.
+//! The tests, functions and Rust files that a page can cite.
 
 use super::citation::{CitedName, LastSegment};
 use crate::pattern::pattern;
@@ -8,25 +8,28 @@
 use std::collections::BTreeSet;
 use std::sync::LazyLock;
 
-/// The declaration of a function.
+/// Matches the declaration of a function.
 static FUNCTION: LazyLock<Regex> = LazyLock::new(|| pattern(r"\bfn\s+(\w+)"));
 
-/// The tests, functions and files that exist.
+/// The tests, functions and Rust files of the repository.
 pub(super) struct Symbols {
-    /// The full names of all tests: `CRATE::PROGRAM::MODULE::NAME`.
+    /// The qualified names of all tests, such as `CRATE::PROGRAM::MODULE::NAME`.
     tests: Vec<String>,
-    /// The names of all functions, each with the module of its file.
+    /// All functions as pairs of the name of their file's module and their own name.
     functions: BTreeSet<(String, String)>,
-    /// The paths of all Rust files from the root.
+    /// The paths of all Rust files, relative to the root of the repository.
     paths: Vec<String>,
 }
 
 impl Symbols {
-    /// Takes in the tests that cargo lists, and the Rust files of the repository.
+    /// Collects the tests that cargo lists and the functions and paths of the Rust files.
     pub(super) fn new(tests: &[Test], files: Vec<SourceFile>) -> Self {
         let functions = files.iter().flat_map(functions_of).collect();
         let paths: Vec<String> = files.into_iter().map(|file| file.path).collect();
-        let tests = tests.iter().map(|test| full_name(test, &paths)).collect();
+        let tests = tests
+            .iter()
+            .map(|test| qualified_name(test, &paths))
+            .collect();
         Symbols {
             tests,
             functions,
@@ -34,11 +37,11 @@
         }
     }
 
-    /// Returns whether a file has a path that ends with this one.
-    pub(super) fn has_file(&self, end: &str) -> bool {
-        let below = format!("/{end}");
+    /// Returns whether the path of a file is `path_end`, or ends with `/` and `path_end`.
+    pub(super) fn has_file(&self, path_end: &str) -> bool {
+        let suffix = format!("/{path_end}");
         let mut paths = self.paths.iter();
-        paths.any(|path| path == end || path.ends_with(&below))
+        paths.any(|path| path == path_end || path.ends_with(&suffix))
     }
 
     /// Returns whether a test or a function has this name.
@@ -50,44 +53,45 @@
     fn has_test(&self, name: &CitedName) -> bool {
         self.tests.iter().any(|test| {
             let segments: Vec<&str> = test.split("::").collect();
-            name.fits(&segments)
+            name.matches(&segments)
         })
     }
 
-    /// Returns whether a function has this name, and its file that of the module.
+    /// Returns whether a function has the name in the last segment, and its file is the module
+    /// named by the segment before it.
     fn has_function(&self, name: &CitedName) -> bool {
-        let (Some(module), LastSegment::Whole(function)) = (name.modules.last(), name.last) else {
+        let (Some(module), LastSegment::Exact(function)) = (name.modules.last(), name.last) else {
             return false;
         };
-        let named = (module.to_string(), function.to_string());
-        self.functions.contains(&named)
+        let qualified = (module.to_string(), function.to_string());
+        self.functions.contains(&qualified)
     }
 }
 
-/// Returns the name of a test with its program, and with its crate if that can be told from the
-/// program's file.
-fn full_name(test: &Test, paths: &[String]) -> String {
+/// Returns the name of a test, qualified by its program and, for an integration test, by the folder
+/// of its crate.
+fn qualified_name(test: &Test, paths: &[String]) -> String {
     let Some(program) = &test.program else {
         return test.path.clone();
     };
     let name = format!("{}::{}", program.name, test.path);
-    let in_crate = |path: &String| {
+    let with_crate = |path: &String| {
         let folder = path
             .strip_prefix("crates/")?
             .strip_suffix(&program.source)?
             .strip_suffix('/')?;
         Some(format!("{folder}::{name}"))
     };
-    // The unit tests of all crates are in files of the same names.
+    // For unit tests, cargo prints `src/lib.rs` or `src/main.rs`, which does not tell the crate.
     let is_integration_test = program.source.starts_with("tests/");
     let qualified = paths
         .iter()
         .filter(|_| is_integration_test)
-        .find_map(in_crate);
+        .find_map(with_crate);
     qualified.unwrap_or(name)
 }
 
-/// Returns the functions of a file, each with its module.
+/// Returns the functions of a file as pairs of module and name.
 fn functions_of(file: &SourceFile) -> Vec<(String, String)> {
     let module = module_name(&file.path);
     let functions = FUNCTION.captures_iter(&file.text);
@@ -96,7 +100,7 @@
         .collect()
 }
 
-/// Returns the name of the innermost module of a file.
+/// Returns the module name of a file: the file's own name, or the folder's name for `mod.rs`.
 fn module_name(path: &str) -> &str {
     let without_extension = path.strip_suffix(".rs").unwrap_or(path);
     let module = without_extension
--- a/crates/xtask/src/cycles.rs
+++ b/crates/xtask/src/cycles.rs
@@ -1,5 +1,6 @@
-//! Cycles of imports: no modules below a crate's `src` import one another in a cycle. A module is
-//! a file. Test files are left out, and so is what a module takes from the modules within it.
+//! The `cycles` check: no modules below a crate's `src` import one another in a cycle. Each file is
+//! one module. Test files are ignored, and so are imports from the crate root and from a module's
+//! own descendants.
 
 mod import_graph;
 mod imports;
@@ -14,34 +15,35 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// What is wrong with the imports of a crate.
+/// A finding of the `cycles` check.
 #[derive(Debug, Error)]
 pub(crate) enum CycleProblem {
-    /// The folder holds no crate, so that it is hardly the one that was meant.
-    #[error("no crate in {}", .0.display())]
+    /// The folder holds no crate, so it is probably the wrong one.
+    #[error("no crate in {}: none of its folders contains src", .0.display())]
     NoCrates(PathBuf),
     /// Modules import one another in a cycle.
     #[error("{}: {cycle}", src.display())]
     Cycle {
         /// The folder of the crate's sources.
         src: PathBuf,
-        /// The modules and their imports.
+        /// The modules and the imports between them.
         cycle: Cycle,
     },
 }
 
-/// Modules that can all be reached from one another, with the imports between them.
+/// A strongly connected component of the import graph: each of its modules can be reached from each
+/// other one through imports.
 #[derive(Debug)]
 pub(crate) struct Cycle {
     /// The number of modules.
-    modules: usize,
-    /// The imports between them, each with the importing module first.
+    module_count: usize,
+    /// The imports between the modules, each as a pair of the importing and the imported module.
     imports: Vec<(ModulePath, ModulePath)>,
 }
 
 impl fmt::Display for Cycle {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "a cycle of {} modules", self.modules)?;
+        write!(formatter, "a cycle of {} modules", self.module_count)?;
         for (importer, imported) in &self.imports {
             write!(formatter, "\n  {importer} -> {imported}")?;
         }
@@ -49,7 +51,7 @@
     }
 }
 
-/// Returns the cycles of the crates in a folder.
+/// Returns the import cycles of each crate in a folder.
 pub(crate) fn check(crates: &Path) -> Result<Vec<CycleProblem>, ReadError> {
     let folders = source_folders(crates)?;
     if folders.is_empty() {
@@ -68,7 +70,7 @@
     Ok(problems)
 }
 
-/// Returns the `src` folder of each crate in a folder, in the order of their names.
+/// Returns the `src` folder of each crate in a folder, sorted by path.
 fn source_folders(crates: &Path) -> Result<Vec<PathBuf>, ReadError> {
     let mut folders = Vec::new();
     for entry in fs::read_dir(crates).map_err(ReadError::at(crates))? {
--- a/crates/xtask/src/cycles/import_graph.rs
+++ b/crates/xtask/src/cycles/import_graph.rs
@@ -1,7 +1,7 @@
-//! Which modules import which, and the cycles among them.
+//! The graph of imports between the modules of a crate, and its cycles.
 
 use super::Cycle;
-use super::imports::paths_in;
+use super::imports::imported_paths;
 use super::module_path::ModulePath;
 use crate::source_tree::SourceFile;
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,7 +13,7 @@
 }
 
 impl ImportGraph {
-    /// Reads the imports of the files of a crate.
+    /// Builds the graph of the imports in the files of a crate.
     pub(super) fn new<'a>(files: impl Iterator<Item = &'a SourceFile>) -> Self {
         let named = files.map(|file| (ModulePath::of_file(&file.path), file.text.as_str()));
         let sources: BTreeMap<ModulePath, &str> = named.collect();
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Returns the cycles, each once.
+    /// Returns each cycle once.
     pub(super) fn cycles(&self) -> Vec<Cycle> {
         let reachable: BTreeMap<&ModulePath, BTreeSet<&ModulePath>> = self
             .imports
@@ -40,15 +40,16 @@
             if !reached.contains(module) || in_cycles.contains(module) {
                 continue;
             }
-            let returns = |other: &&ModulePath| reachable[*other].contains(module);
-            let members: BTreeSet<&ModulePath> = reached.iter().copied().filter(returns).collect();
+            let leads_back = |other: &&ModulePath| reachable[*other].contains(module);
+            let members: BTreeSet<&ModulePath> =
+                reached.iter().copied().filter(leads_back).collect();
             in_cycles.extend(members.iter().copied());
-            cycles.push(self.cycle_of(&members));
+            cycles.push(self.cycle_among(&members));
         }
         cycles
     }
 
-    /// Returns the modules that can be reached from a module in one step or more.
+    /// Returns the modules that can be reached from a module through one or more imports.
     fn reachable_from(&self, module: &ModulePath) -> BTreeSet<&ModulePath> {
         let mut reached = BTreeSet::new();
         let mut unvisited: Vec<&ModulePath> = self.imports[module].iter().collect();
@@ -60,8 +61,8 @@
         reached
     }
 
-    /// Returns the cycle of these modules.
-    fn cycle_of(&self, members: &BTreeSet<&ModulePath>) -> Cycle {
+    /// Returns the cycle that consists of these modules.
+    fn cycle_among(&self, members: &BTreeSet<&ModulePath>) -> Cycle {
         let mut imports = Vec::new();
         for importer in members {
             let within_cycle = self.imports[*importer]
@@ -71,23 +72,26 @@
             imports.extend(within_cycle);
         }
         Cycle {
-            modules: members.len(),
+            module_count: members.len(),
             imports,
         }
     }
 }
 
-/// Returns the other modules that a module takes something from. A path means the longest module
-/// that it lies in; the root and the modules within the importing one are left out.
+/// Returns the modules that a module imports from. Each path counts as an import from the innermost
+/// module that contains it. The crate root, the module itself and its descendants are left out.
 fn imported_modules(
     module: &ModulePath,
     text: &str,
     modules: &BTreeSet<ModulePath>,
 ) -> BTreeSet<ModulePath> {
-    paths_in(text)
+    imported_paths(text)
         .iter()
         .filter_map(|path| module.resolve(path))
-        .filter_map(|path| path.with_parents().find(|parent| modules.contains(parent)))
+        .filter_map(|path| {
+            path.with_ancestors()
+                .find(|ancestor| modules.contains(ancestor))
+        })
         .filter(|imported| !imported.is_within(module))
         .collect()
 }
--- a/crates/xtask/src/cycles/module_path.rs
+++ b/crates/xtask/src/cycles/module_path.rs
@@ -1,13 +1,13 @@
-//! The names of modules within their crate.
+//! The paths of modules within their crate.
 
 use std::fmt;
 
-/// The path of a module from the root of its crate; the root itself has no segments.
+/// The path of a module from the root of its crate; the root module has no segments.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ModulePath(Vec<String>);
 
 impl ModulePath {
-    /// Returns the module whose file has this path below `src`.
+    /// Returns the module whose file has this path relative to `src`.
     pub(super) fn of_file(path: &str) -> Self {
         let path = path.strip_suffix(".rs").unwrap_or(path);
         let mut segments: Vec<String> = path.split('/').map(str::to_string).collect();
@@ -20,14 +20,14 @@
         ModulePath(segments)
     }
 
-    /// Returns the path that `path` means within this module, if it begins with `crate`, `super` or
-    /// `self`. Its last segments may be items.
+    /// Resolves a path used in this module to a path from the crate root. Returns `None` unless it
+    /// begins with `crate`, `super` or `self`. The last segments of the result may name items.
     pub(super) fn resolve(&self, path: &str) -> Option<Self> {
         let mut segments = path.split("::").map(str::trim);
         let mut resolved = match segments.next()? {
             "crate" => Vec::new(),
             "self" => self.0.clone(),
-            "super" => self.parent(),
+            "super" => self.parent_segments(),
             _ => return None,
         };
         for segment in segments {
@@ -40,19 +40,19 @@
         Some(ModulePath(resolved))
     }
 
-    /// Returns the segments of the module that this one lies in.
-    fn parent(&self) -> Vec<String> {
-        let parents = self.0.len().saturating_sub(1);
-        self.0[..parents].to_vec()
+    /// Returns the segments of the parent module.
+    fn parent_segments(&self) -> Vec<String> {
+        let parent_length = self.0.len().saturating_sub(1);
+        self.0[..parent_length].to_vec()
     }
 
-    /// Returns this path and those that it lies within, the longest first, without the root.
-    pub(super) fn with_parents(&self) -> impl Iterator<Item = Self> + '_ {
+    /// Returns this path and its ancestors, the longest first, without the root.
+    pub(super) fn with_ancestors(&self) -> impl Iterator<Item = Self> + '_ {
         let lengths = (1..=self.0.len()).rev();
         lengths.map(|length| ModulePath(self.0[..length].to_vec()))
     }
 
-    /// Returns whether this is `other` or a module within it.
+    /// Returns whether this module is `other` or a descendant of it.
     pub(super) fn is_within(&self, other: &Self) -> bool {
         self.0.starts_with(&other.0)
     }
--- a/crates/xtask/src/main.rs
+++ b/crates/xtask/src/main.rs
@@ -1,6 +1,6 @@
-//! The project's checks. Each is a subcommand that prints its findings on standard output and exits
-//! with 1 if there are any. All are run from the root of the repository; `.ci/run` runs all of
-//! them.
+//! The project's own checks. Each is a subcommand that prints its findings to standard output and
+//! exits with code 1 if there are any. The checks run from the root of the repository; `.ci/run`
+//! runs all of them.
 
 mod citations;
 mod command_line;
@@ -32,23 +32,23 @@
     }
 }
 
-/// Runs a check, and returns whether it passes.
+/// Runs a check and returns whether it passes.
 fn run(check: &Check) -> Result<bool, ReadError> {
     let name = check.name();
     match check {
         Check::Sources { folder } => Ok(report(name, &sources::check(folder)?)),
         Check::Decisions { deploy_file } => Ok(report(name, &decisions::check(deploy_file)?)),
         Check::Cycles { folder } => Ok(report(name, &cycles::check(folder)?)),
-        Check::Citations { tests } => Ok(report(name, &citations::check(tests)?)),
+        Check::Citations { listing } => Ok(report(name, &citations::check(listing)?)),
         Check::Verdict(files) => {
-            let verdict = files.read()?.judge();
+            let verdict = files.read()?.evaluate();
             verdict.notes.iter().for_each(|note| println!("{note}"));
             Ok(report(name, verdict.failure.as_slice()))
         }
     }
 }
 
-/// Prints each problem on a line of its own, and returns whether there is none.
+/// Prints each problem after the name of the check, and returns whether there are none.
 fn report(check: &str, problems: &[impl Display]) -> bool {
     for problem in problems {
         println!("{check}: {problem}");
@@ -56,7 +56,7 @@
     problems.is_empty()
 }
 
-/// Returns an error with its whole chain of sources in one line.
+/// Returns the messages of an error and of its chain of sources, separated by colons.
 fn with_sources(error: &dyn Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
--- a/crates/xtask/src/pattern.rs
+++ b/crates/xtask/src/pattern.rs
@@ -1,8 +1,8 @@
-//! Regular expressions that are part of the program.
+//! Compilation of the regular expressions that the checks use.
 
 use regex::Regex;
 
-/// Compiles a regular expression that is part of the program.
+/// Compiles a regular expression of the source code; panics if it is malformed.
 pub(crate) fn pattern(text: &str) -> Regex {
     Regex::new(text).expect("the pattern is well-formed")
 }
--- a/crates/xtask/src/read_error.rs
+++ b/crates/xtask/src/read_error.rs
@@ -1,4 +1,4 @@
-//! Files and folders that cannot be read.
+//! Reading files, and the error for files and folders that cannot be read.
 
 use std::fs;
 use std::io;
@@ -17,7 +17,7 @@
 }
 
 impl ReadError {
-    /// Returns a function that names the path in an error of input.
+    /// Returns a function that adds the path to an I/O error, for `map_err`.
     pub(crate) fn at(path: &Path) -> impl FnOnce(io::Error) -> Self + '_ {
         |cause| ReadError {
             path: path.to_path_buf(),
@@ -25,13 +25,13 @@
         }
     }
 
-    /// Returns whether the file is missing.
+    /// Returns whether the file or folder does not exist.
     pub(crate) fn is_not_found(&self) -> bool {
         self.cause.kind() == io::ErrorKind::NotFound
     }
 }
 
-/// Returns the text of a file. Bytes that are not UTF-8 are replaced.
+/// Returns the text of a file, with invalid UTF-8 replaced by U+FFFD.
 pub(crate) fn read_text(path: &Path) -> Result<String, ReadError> {
     let bytes = fs::read(path).map_err(ReadError::at(path))?;
     Ok(String::from_utf8_lossy(&bytes).into_owned())
--- a/crates/xtask/src/source_tree.rs
+++ b/crates/xtask/src/source_tree.rs
@@ -1,23 +1,23 @@
-//! The Rust files below a folder.
+//! Finds and reads the Rust files below a folder.
 
 use crate::read_error::{ReadError, read_text};
 use std::fs;
 use std::path::Path;
 
-/// Folders that hold no sources of the project.
+/// The names of folders that are not searched: build output and Git's data.
 const IGNORED_FOLDERS: [&str; 2] = ["target", ".git"];
 
 /// A Rust file.
 #[derive(Debug)]
 pub(crate) struct SourceFile {
-    /// The path from the folder that was searched, with `/` between its parts.
+    /// The path relative to the folder that was searched, with `/` between its parts.
     pub path: String,
-    /// The whole text.
+    /// The text of the file.
     pub text: String,
 }
 
 impl SourceFile {
-    /// Returns whether the file may hold tests: it lies in a folder named `tests`, or is named
+    /// Returns whether the file may contain tests: it is below a folder named `tests`, or is named
     /// `tests.rs` or `*_tests.rs`.
     pub(crate) fn is_test_file(&self) -> bool {
         let rooted = format!("/{}", self.path);
@@ -36,7 +36,7 @@
     lines.filter(|line| !line.trim().is_empty()).count()
 }
 
-/// Returns all Rust files below a folder, in the order of their paths.
+/// Returns all Rust files below a folder, sorted by path.
 pub(crate) fn rust_files(folder: &Path) -> Result<Vec<SourceFile>, ReadError> {
     let mut files = Vec::new();
     collect_rust_files(folder, "", &mut files)?;
@@ -44,7 +44,7 @@
     Ok(files)
 }
 
-/// Adds the Rust files below a folder, whose paths begin with `prefix`.
+/// Adds the Rust files below a folder to `files`, with `prefix` in front of their paths.
 fn collect_rust_files(
     folder: &Path,
     prefix: &str,
--- a/crates/xtask/src/sources.rs
+++ b/crates/xtask/src/sources.rs
@@ -1,4 +1,4 @@
-//! The layout of the sources: tests stand in test files, and files are short.
+//! The `sources` check: tests are in test files, and no file is too long.
 
 use crate::pattern::pattern;
 use crate::read_error::ReadError;
@@ -8,33 +8,33 @@
 use std::sync::LazyLock;
 use thiserror::Error;
 
-/// The most non-blank lines of a file.
-const MAX_LINES: usize = 400;
+/// The maximum number of non-blank lines in a file.
+const MAX_NON_BLANK_LINES: usize = 400;
 
-/// The attribute of a test, such as `#[test]` or `#[tokio::test(start_paused = true)]`.
+/// Matches the attribute of a test, such as `#[test]` or `#[tokio::test(start_paused = true)]`.
 static TEST_ATTRIBUTE: LazyLock<Regex> =
     LazyLock::new(|| pattern(r"(?m)^\s*#\[([a-z_]+::)*test\b"));
 
-/// A file that does not keep the layout.
+/// A finding of the `sources` check.
 #[derive(Debug, Error)]
 pub(crate) enum SourceProblem {
-    /// The folder has no Rust file at all, so that it is hardly the one that was meant.
-    #[error("no Rust source below {}", .0.display())]
+    /// The folder has no Rust files, so it is probably the wrong one.
+    #[error("no Rust files below {}", .0.display())]
     NoSources(PathBuf),
-    /// The file is too long.
-    #[error("{path} has {lines} non-blank lines of {MAX_LINES}")]
+    /// The file has too many lines.
+    #[error("{path} has {lines} non-blank lines; at most {MAX_NON_BLANK_LINES} are allowed")]
     TooLong {
-        /// The path from the folder that is checked.
+        /// The path relative to the folder that is checked.
         path: String,
-        /// The non-blank lines.
+        /// The number of non-blank lines.
         lines: usize,
     },
-    /// The file has tests and is no test file.
-    #[error("{0} has tests; they belong into a test file")]
+    /// The file contains tests but is not a test file.
+    #[error("{0} has tests; they belong in a test file: tests/*.rs, tests.rs or *_tests.rs")]
     HasTests(String),
 }
 
-/// Returns what is wrong with the layout of the Rust files below a folder.
+/// Returns the problems of the Rust files below a folder.
 pub(crate) fn check(folder: &Path) -> Result<Vec<SourceProblem>, ReadError> {
     let files = rust_files(folder)?;
     if files.is_empty() {
@@ -43,12 +43,12 @@
     Ok(files.iter().flat_map(check_file).collect())
 }
 
-/// Returns what is wrong with a file.
+/// Returns the problems of a file.
 fn check_file(file: &SourceFile) -> Vec<SourceProblem> {
     let mut problems = Vec::new();
     let path = || file.path.clone();
     let lines = file.non_blank_lines();
-    if lines > MAX_LINES {
+    if lines > MAX_NON_BLANK_LINES {
         let path = path();
         problems.push(SourceProblem::TooLong { path, lines });
     }
--- a/crates/xtask/src/test_output.rs
+++ b/crates/xtask/src/test_output.rs
@@ -1,18 +1,22 @@
-//! What `cargo test` prints: which test programs it runs, their tests, and those that failed.
+//! Parses the output of `cargo test`: the test programs that it runs, their tests, and the failed
+//! tests.
 
-/// A test program as cargo announces it.
+/// A test program, as cargo announces it before it runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct TestProgram {
-    /// The program without its hash, such as `node`; for tests of the documentation, the crate.
+    /// The name of the program without its hash, such as `node`; for documentation tests, the
+    /// crate.
     pub name: String,
-    /// The source file that cargo prints, such as `tests/node/main.rs`, or `doc-tests`.
+    /// The source file that cargo prints, such as `tests/node/main.rs`, or `doc-tests` for
+    /// documentation tests.
     pub source: String,
 }
 
 impl TestProgram {
-    /// Reads the line that announces a program: `     Running tests/node/main.rs
-    /// (target/debug/deps/node-0123456789abcdef)` or `   Doc-tests ottertiller_balancer`.
-    fn announced_in(line: &str) -> Option<Self> {
+    /// Parses a line that announces a program, such as
+    /// `     Running tests/node/main.rs (target/debug/deps/node-0123456789abcdef)` or
+    /// `   Doc-tests ottertiller_balancer`. Returns `None` for any other line.
+    fn parse_announcement(line: &str) -> Option<Self> {
         let announcement = line.strip_prefix(' ')?.trim_start_matches(' ');
         if let Some(name) = announcement.strip_prefix("Doc-tests ") {
             return Some(TestProgram {
@@ -30,13 +34,13 @@
         })
     }
 
-    /// Returns the name of the program in `KNOWN-RED.txt`: `PROGRAM/PATH`.
+    /// Returns the name that `KNOWN-RED.txt` uses for the program: `PROGRAM/PATH`.
     pub(crate) fn full_name(&self) -> String {
         format!("{}/{}", self.name, self.source)
     }
 }
 
-/// Returns the text up to the first space.
+/// Returns the first word of a text, or an empty text if it has none.
 fn first_word(text: &str) -> String {
     let word = text.split_whitespace().next();
     word.unwrap_or_default().to_string()
@@ -50,39 +54,39 @@
     }
 }
 
-/// Returns whether the text has hexadecimal digits only.
+/// Returns whether the text consists of lower-case hexadecimal digits.
 fn is_hash(text: &str) -> bool {
     let is_digit = |byte: u8| matches!(byte, b'0'..=b'9' | b'a'..=b'f');
     !text.is_empty() && text.bytes().all(is_digit)
 }
 
-/// A test and the program that it is a part of.
+/// A test and the program that it belongs to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Test {
-    /// The program, unless the test came before any announcement.
+    /// The program that was announced last before the test, if any.
     pub program: Option<TestProgram>,
     /// The path of the test in its program, such as `discovery::indented_list_is_parsed`.
     pub path: String,
 }
 
 impl Test {
-    /// Returns the name of the test in `KNOWN-RED.txt`: `PROGRAM/PATH::NAME`.
+    /// Returns the name that `KNOWN-RED.txt` uses for the test: `PROGRAM/PATH::NAME`.
     pub(crate) fn full_name(&self) -> String {
         let program = self.program.as_ref().map(TestProgram::full_name);
         format!("{}::{}", program.unwrap_or_default(), self.path)
     }
 }
 
-/// Returns the test programs that are announced, in their order.
+/// Returns the announced test programs, in the order of their announcements.
 pub(crate) fn announced_programs(output: &str) -> Vec<TestProgram> {
     lines(output)
-        .filter_map(TestProgram::announced_in)
+        .filter_map(TestProgram::parse_announcement)
         .collect()
 }
 
-/// Returns the tests that `cargo test -- --list` printed.
+/// Returns the tests in the output of `cargo test -- --list`.
 pub(crate) fn listed_tests(listing: &str) -> Vec<Test> {
-    with_programs(listing)
+    lines_with_programs(listing)
         .filter_map(|(program, line)| {
             let path = line.strip_suffix(": test")?.to_string();
             Some(Test { program, path })
@@ -90,12 +94,13 @@
         .collect()
 }
 
-/// Returns what stands under `failures:`: the names of failed tests, and other indented lines that
-/// the tests printed.
-pub(crate) fn failure_lines(output: &str) -> Vec<Test> {
+/// Returns the lines that may name failed tests: those under `failures:` with an indent of exactly
+/// four spaces. Lines that the tests printed can look the same, so the caller must look the names
+/// up among the existing tests.
+pub(crate) fn failed_test_candidates(output: &str) -> Vec<Test> {
     let mut in_failures = false;
     let mut tests = Vec::new();
-    for (program, line) in with_programs(output) {
+    for (program, line) in lines_with_programs(output) {
         if line == "failures:" {
             in_failures = true;
         } else if line.starts_with("test result:") {
@@ -111,24 +116,24 @@
     tests
 }
 
-/// Counts the test programs that came to an end.
-pub(crate) fn count_results(output: &str) -> usize {
+/// Counts the test programs that printed a result.
+pub(crate) fn count_finished_programs(output: &str) -> usize {
     result_lines(output).count()
 }
 
-/// Sums up the failures that the test programs counted.
-pub(crate) fn count_failures(output: &str) -> usize {
-    result_lines(output).map(failures_in_result).sum()
+/// Returns the sum of the failed tests in the results of all test programs.
+pub(crate) fn count_failed_tests(output: &str) -> usize {
+    result_lines(output).map(failed_tests_in_result).sum()
 }
 
-/// Returns the lines in which programs count their results.
+/// Returns the lines in which test programs report their results.
 fn result_lines(output: &str) -> impl Iterator<Item = &str> {
     lines(output).filter(|line| line.starts_with("test result:"))
 }
 
-/// Reads the count before each `failed;` of a line such as `test result: FAILED. 7 passed; 1
-/// failed; 0 ignored`.
-fn failures_in_result(line: &str) -> usize {
+/// Returns the sum of the numbers before `failed;` in a line such as
+/// `test result: FAILED. 7 passed; 1 failed; 0 ignored`.
+fn failed_tests_in_result(line: &str) -> usize {
     let words: Vec<&str> = line.split_whitespace().collect();
     let pairs = words.windows(2);
     let counts = pairs.filter(|pair| pair[1] == "failed;");
@@ -138,17 +143,17 @@
 }
 
 /// Returns each line with the program that was announced last.
-fn with_programs(output: &str) -> impl Iterator<Item = (Option<TestProgram>, &str)> {
+fn lines_with_programs(output: &str) -> impl Iterator<Item = (Option<TestProgram>, &str)> {
     let mut program = None;
     lines(output).map(move |line| {
-        if let Some(announced) = TestProgram::announced_in(line) {
+        if let Some(announced) = TestProgram::parse_announcement(line) {
             program = Some(announced);
         }
         (program.clone(), line)
     })
 }
 
-/// Returns the lines as they are. A carriage return stays a part of its line.
+/// Splits the output at `\n`. Unlike `str::lines`, it keeps a carriage return at the end of a line.
 fn lines(output: &str) -> impl Iterator<Item = &str> {
     output.split_terminator('\n')
 }
--- a/crates/xtask/src/verdict.rs
+++ b/crates/xtask/src/verdict.rs
@@ -1,35 +1,35 @@
-//! The verdict on a run of the tests: it passes if every test program came to an end and no test
-//! failed but those that `KNOWN-RED.txt` lists.
+//! The `verdict` check: a test run passes if every test program finished and only tests that
+//! `KNOWN-RED.txt` lists failed.
 
 mod known_red;
 
 use crate::read_error::{ReadError, read_text};
 use crate::test_output::{
-    Test, TestProgram, announced_programs, count_failures, count_results, failure_lines,
-    listed_tests,
+    Test, TestProgram, announced_programs, count_failed_tests, count_finished_programs,
+    failed_test_candidates, listed_tests,
 };
 use clap::Args;
-use known_red::{KnownRed, KnownRedError};
+use known_red::{KnownFailure, KnownFailuresError};
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// The files that tell of a run of the tests.
+/// The files that describe a test run, and its exit code.
 #[derive(Debug, Args)]
 pub(crate) struct TestRunFiles {
-    /// The file with what `cargo test -- --list` printed
-    tests: PathBuf,
-    /// The file with what the run printed
+    /// A file with the output of `cargo test -- --list`
+    listing: PathBuf,
+    /// A file with the output of the test run
     output: PathBuf,
-    /// The exit code of the run
+    /// The exit code of the test run
     status: i32,
-    /// The file of the tests that may fail, which need not exist; each line is "TEST | CAUSE |
-    /// issue N"
+    /// The file that lists the tests that are known to fail; it need not exist. Each line has the
+    /// form "TEST | CAUSE | issue N"
     known_red: PathBuf,
 }
 
 impl TestRunFiles {
-    /// Reads the files.
+    /// Reads the files. A missing list of known failures counts as empty.
     pub(crate) fn read(&self) -> Result<TestRun, ReadError> {
         let known_red = match read_text(&self.known_red) {
             Ok(text) => text,
@@ -37,7 +37,7 @@
             Err(error) => return Err(error),
         };
         Ok(TestRun {
-            listing: read_text(&self.tests)?,
+            listing: read_text(&self.listing)?,
             output: read_text(&self.output)?,
             status: self.status,
             known_red,
@@ -45,96 +45,97 @@
     }
 }
 
-/// What is known of a run of the tests.
+/// The listing, output and exit code of a test run, and the list of known failures.
 #[derive(Debug)]
 pub(crate) struct TestRun {
-    /// What `cargo test -- --list` printed.
+    /// The output of `cargo test -- --list`.
     listing: String,
-    /// What the run printed.
+    /// The output of the run.
     output: String,
     /// The exit code of the run.
     status: i32,
-    /// The text of `KNOWN-RED.txt`, empty if there is none.
+    /// The text of `KNOWN-RED.txt`, or an empty text if the file is missing.
     known_red: String,
 }
 
-/// Whether a run passes.
+/// Whether a test run passes.
 #[derive(Debug)]
 pub(crate) struct Verdict {
-    /// The lines to print of tests that are known to fail.
+    /// The lines to print about tests that are known to fail.
     pub notes: Vec<String>,
-    /// Why the run does not pass.
+    /// Why the run does not pass; `None` if it passes.
     pub failure: Option<VerdictFailure>,
 }
 
-/// Why a run does not pass.
+/// Why a test run does not pass.
 #[derive(Debug, Error)]
 pub(crate) enum VerdictFailure {
-    /// Failures could not be told apart.
+    /// Two test programs have the same name, so their failures cannot be told apart.
     #[error("two test programs have the same name: {0}")]
-    SameName(String),
-    /// `KNOWN-RED.txt` cannot be used.
+    DuplicateProgramName(String),
+    /// `KNOWN-RED.txt` is invalid.
     #[error(transparent)]
-    KnownRed(#[from] KnownRedError),
-    /// The build failed, or the command runs no tests.
-    #[error("no test was run")]
-    NoTests,
-    /// A test program ended without a result.
-    #[error("{programs} test programs were run, and {results} came to an end")]
+    KnownFailures(#[from] KnownFailuresError),
+    /// No test program was started: the build failed, or the command runs no tests.
+    #[error("the run started no test program: the build failed or the command runs no tests")]
+    NoPrograms,
+    /// The numbers of started and finished test programs differ.
+    #[error("{programs} test programs were started, but {results} printed a result")]
     Unfinished {
-        /// The programs that were started.
+        /// The number of programs that were started.
         programs: usize,
-        /// The programs that counted their results.
+        /// The number of programs that printed a result.
         results: usize,
     },
-    /// The names that were found are not those of all failed tests.
-    #[error("not all of the {0} failed tests could be named")]
-    Unnamed(usize),
-    /// A test failed that may not.
-    #[error("{0} failed")]
+    /// The number of names found in the output differs from the number of failed tests.
+    #[error("the names found in the output do not match the count of {0} failed tests")]
+    NameCountMismatch(usize),
+    /// A test failed that is not a known failure.
+    #[error("test {0} failed and is not listed in KNOWN-RED.txt")]
     Failed(String),
-    /// Something else than a test failed.
-    #[error("the tests ended with {0} though none failed")]
-    Status(i32),
+    /// Something other than a test failed.
+    #[error("the test run exited with code {0}, but no test failed")]
+    ExitCode(i32),
 }
 
 impl TestRun {
     /// Decides whether the run passes.
-    pub(crate) fn judge(&self) -> Verdict {
+    pub(crate) fn evaluate(&self) -> Verdict {
         let mut notes = Vec::new();
         let failure = self.require_pass(&mut notes).err();
         Verdict { notes, failure }
     }
 
-    /// Returns why the run does not pass. Lines to print are added to `notes`.
+    /// Returns an error if the run does not pass. Adds the lines to print to `notes`.
     fn require_pass(&self, notes: &mut Vec<String>) -> Result<(), VerdictFailure> {
-        require_distinct_programs(&self.listing)?;
+        require_distinct_program_names(&self.listing)?;
         let tests = listed_tests(&self.listing);
-        let existing: BTreeSet<String> = tests.iter().map(Test::full_name).collect();
-        let known = known_red::parse(&self.known_red, &existing)?;
-        notes.extend(known.iter().map(|red| format!("known red: {}", red.line)));
+        let existing_tests: BTreeSet<String> = tests.iter().map(Test::full_name).collect();
+        let known_failures = known_red::parse(&self.known_red, &existing_tests)?;
+        let lines = known_failures.iter().map(|known| &known.line);
+        notes.extend(lines.map(|line| format!("known red: {line}")));
 
-        self.require_end()?;
-        let failed = self.failed_tests(&existing)?;
-        let is_known = |name: &String| known.iter().any(|red| red.test == *name);
+        self.require_all_finished()?;
+        let failed = self.failed_tests(&existing_tests)?;
+        let is_known = |name: &String| known_failures.iter().any(|known| known.test == *name);
         if let Some(name) = failed.iter().find(|name| !is_known(name)) {
             return Err(VerdictFailure::Failed(name.clone()));
         }
         if self.status != 0 && failed.is_empty() {
-            return Err(VerdictFailure::Status(self.status));
+            return Err(VerdictFailure::ExitCode(self.status));
         }
-        let passes = |red: &&KnownRed| !failed.contains(&red.test);
-        let passing = known.iter().filter(passes);
-        notes.extend(passing.map(|red| format!("known red, but it passes: {}", red.test)));
+        let passes = |known: &&KnownFailure| !failed.contains(&known.test);
+        let passing = known_failures.iter().filter(passes);
+        notes.extend(passing.map(|known| format!("known red, but it passes: {}", known.test)));
         Ok(())
     }
 
-    /// Requires that every test program that was started has counted its results.
-    fn require_end(&self) -> Result<(), VerdictFailure> {
+    /// Returns an error unless every test program that was started printed a result.
+    fn require_all_finished(&self) -> Result<(), VerdictFailure> {
         let programs = announced_programs(&self.output).len();
-        let results = count_results(&self.output);
+        let results = count_finished_programs(&self.output);
         if programs == 0 {
-            return Err(VerdictFailure::NoTests);
+            return Err(VerdictFailure::NoPrograms);
         }
         if programs != results {
             return Err(VerdictFailure::Unfinished { programs, results });
@@ -142,33 +143,34 @@
         Ok(())
     }
 
-    /// Returns the names of the failed tests, if there are as many as the programs counted.
+    /// Returns the names of the failed tests, or an error if their number differs from the sum of
+    /// the failures that the programs report.
     fn failed_tests(
         &self,
-        existing: &BTreeSet<String>,
+        existing_tests: &BTreeSet<String>,
     ) -> Result<BTreeSet<String>, VerdictFailure> {
-        let failed: BTreeSet<String> = failure_lines(&self.output)
+        let failed: BTreeSet<String> = failed_test_candidates(&self.output)
             .iter()
             .map(Test::full_name)
-            .filter(|name| existing.contains(name))
+            .filter(|name| existing_tests.contains(name))
             .collect();
-        let counted = count_failures(&self.output);
+        let counted = count_failed_tests(&self.output);
         if counted != failed.len() {
-            return Err(VerdictFailure::Unnamed(counted));
+            return Err(VerdictFailure::NameCountMismatch(counted));
         }
         Ok(failed)
     }
 }
 
-/// Requires that no two test programs have the same name.
-fn require_distinct_programs(listing: &str) -> Result<(), VerdictFailure> {
+/// Returns an error if two test programs have the same name.
+fn require_distinct_program_names(listing: &str) -> Result<(), VerdictFailure> {
     let mut names = BTreeSet::new();
     let repeated = announced_programs(listing)
         .iter()
         .map(TestProgram::full_name)
         .find(|name| !names.insert(name.clone()));
     match repeated {
-        Some(name) => Err(VerdictFailure::SameName(name)),
+        Some(name) => Err(VerdictFailure::DuplicateProgramName(name)),
         None => Ok(()),
     }
 }
--- a/crates/xtask/src/verdict/known_red.rs
+++ b/crates/xtask/src/verdict/known_red.rs
@@ -1,4 +1,4 @@
-//! `KNOWN-RED.txt`: the tests that may fail for a known fault, a line each.
+//! Parses `KNOWN-RED.txt`: the tests that may fail because of a known fault, one on each line.
 
 use crate::pattern::pattern;
 use regex::Regex;
@@ -6,66 +6,66 @@
 use std::sync::LazyLock;
 use thiserror::Error;
 
-/// The most tests that may be listed.
-const MAX_TESTS: usize = 3;
+/// The maximum number of tests in the list.
+const MAX_KNOWN_FAILURES: usize = 3;
 
-/// `TEST | CAUSE | issue N`
+/// Matches a line of the form `TEST | CAUSE | issue N`.
 static LINE: LazyLock<Regex> =
     LazyLock::new(|| pattern(r"^([^|]*[^ |]) \| ([^|]*[^ |]) \| issue [0-9]+$"));
 
-/// A test that may fail.
+/// A test that may fail because of a known fault.
 #[derive(Debug)]
-pub(super) struct KnownRed {
+pub(super) struct KnownFailure {
     /// The full name of the test.
     pub test: String,
-    /// The whole line of the list.
+    /// The line of the list, unchanged.
     pub line: String,
 }
 
-/// Why the list cannot be used.
+/// Why the list of known failures is invalid.
 #[derive(Debug, Error)]
-pub(crate) enum KnownRedError {
-    /// A line has another form.
-    #[error("malformed in KNOWN-RED.txt: {0}")]
+pub(crate) enum KnownFailuresError {
+    /// A line does not have the form `TEST | CAUSE | issue N`.
+    #[error("malformed line in KNOWN-RED.txt, expected 'TEST | CAUSE | issue N': {0}")]
     Malformed(String),
-    /// No test has that name.
+    /// No test has the listed name.
     #[error("KNOWN-RED.txt lists a test that does not exist: {0}")]
     NoSuchTest(String),
-    /// A test is in two lines.
+    /// Two lines name the same test.
     #[error("KNOWN-RED.txt lists a test twice: {0}")]
     ListedTwice(String),
-    /// More tests are listed than may be.
-    #[error("KNOWN-RED.txt lists {0} tests, three at most")]
+    /// The list has more than [`MAX_KNOWN_FAILURES`] tests.
+    #[error("KNOWN-RED.txt lists {0} tests; at most {MAX_KNOWN_FAILURES} are allowed")]
     TooMany(usize),
 }
 
-/// Reads the list; all its tests must be among the existing ones.
+/// Parses the list and checks that all its tests are among `existing_tests`.
 pub(super) fn parse(
     text: &str,
-    existing: &BTreeSet<String>,
-) -> Result<Vec<KnownRed>, KnownRedError> {
-    let mut listed: Vec<KnownRed> = Vec::new();
+    existing_tests: &BTreeSet<String>,
+) -> Result<Vec<KnownFailure>, KnownFailuresError> {
+    let mut listed: Vec<KnownFailure> = Vec::new();
     for line in text.split_terminator('\n') {
-        let red = parse_line(line)?;
-        if !existing.contains(&red.test) {
-            return Err(KnownRedError::NoSuchTest(red.test));
+        let failure = parse_line(line)?;
+        if !existing_tests.contains(&failure.test) {
+            return Err(KnownFailuresError::NoSuchTest(failure.test));
         }
-        if listed.iter().any(|other| other.test == red.test) {
-            return Err(KnownRedError::ListedTwice(red.test));
+        if listed.iter().any(|other| other.test == failure.test) {
+            return Err(KnownFailuresError::ListedTwice(failure.test));
         }
-        listed.push(red);
+        listed.push(failure);
     }
-    if listed.len() > MAX_TESTS {
-        return Err(KnownRedError::TooMany(listed.len()));
+    if listed.len() > MAX_KNOWN_FAILURES {
+        return Err(KnownFailuresError::TooMany(listed.len()));
     }
     Ok(listed)
 }
 
-/// Reads a line of the list.
-fn parse_line(line: &str) -> Result<KnownRed, KnownRedError> {
-    let malformed = || KnownRedError::Malformed(line.to_string());
+/// Parses a line of the list.
+fn parse_line(line: &str) -> Result<KnownFailure, KnownFailuresError> {
+    let malformed = || KnownFailuresError::Malformed(line.to_string());
     let fields = LINE.captures(line).ok_or_else(malformed)?;
-    Ok(KnownRed {
+    Ok(KnownFailure {
         test: fields[1].to_string(),
         line: line.to_string(),
     })
--- a/crates/xtask/tests/citations.rs
+++ b/crates/xtask/tests/citations.rs
@@ -1,10 +1,11 @@
-//! The check that the pages cite tests and files that exist.
+//! Tests of `xtask citations`, which checks that documentation pages cite existing tests, functions
+//! and files.
 
 mod support;
 
 use support::Folder;
 
-/// What `cargo test -- --list` prints.
+/// Output of `cargo test -- --list`.
 const LISTING: &str =
     "     Running unittests src/main.rs (target/debug/deps/node_program-247230490af31305)
 pool::tests::a_dial_fails: test
@@ -25,12 +26,13 @@
 1 test, 0 benchmarks
 ";
 
-/// Whether the check passes on a page, and what it prints.
+/// Returns whether the check passes on a page, and what it prints.
 fn check(page: &str) -> (bool, String) {
-    check_with(page, LISTING)
+    check_with_listing(page, LISTING)
 }
 
-fn check_with(page: &str, listing: &str) -> (bool, String) {
+/// Returns whether the check passes on a page with this listing, and what it prints.
+fn check_with_listing(page: &str, listing: &str) -> (bool, String) {
     let folder = Folder::new(&[
         ("docs/page.md", page),
         ("docs/picture.txt", "`gone.rs`\n"),
@@ -41,7 +43,7 @@
         ("crates/balancer/tests/memory.rs", "\n"),
         ("target/old.rs", "\n"),
     ]);
-    folder.xtask(&["citations", "listing"])
+    folder.run_xtask(&["citations", "listing"])
 }
 
 #[test]
@@ -68,7 +70,7 @@
 }
 
 #[test]
-fn a_citation_that_fits_no_test_fails() {
+fn a_citation_that_matches_no_test_fails() {
     for cited in [
         "node::limits::a_body_is_too_short",
         "node::limits::a_body",
@@ -129,7 +131,7 @@
 }
 
 #[test]
-fn types_settings_blocks_and_old_names_are_no_citations() {
+fn types_settings_blocks_and_old_names_are_not_citations() {
     let page = "\
 `Balancer::route`, `Classes[].Target`, `Display::fmt`, `/health/ready`, `*.rs`, node::gone
 
@@ -156,7 +158,7 @@
 
 #[test]
 fn a_listing_without_tests_fails() {
-    let (passed, printed) = check_with("no citation\n", "error: could not compile\n");
+    let (passed, printed) = check_with_listing("no citation\n", "error: could not compile\n");
     assert!(
         !passed && printed.contains("listing lists no test"),
         "{printed}"
--- a/crates/xtask/tests/cycles.rs
+++ b/crates/xtask/tests/cycles.rs
@@ -1,10 +1,10 @@
-//! The check for modules that import one another in a cycle.
+//! Tests of `xtask cycles`, which finds modules that import one another in a cycle.
 
 mod support;
 
 use support::Folder;
 
-/// Whether the check passes on the files of one crate, and what it prints.
+/// Returns whether the check passes on a crate with these files in `src`, and what it prints.
 fn check(files: &[(&str, &str)]) -> (bool, String) {
     let paths = files
         .iter()
@@ -12,7 +12,7 @@
     let paths: Vec<String> = paths.collect();
     let texts = files.iter().map(|(_, text)| *text);
     let files: Vec<(&str, &str)> = paths.iter().map(String::as_str).zip(texts).collect();
-    Folder::new(&files).xtask(&["cycles"])
+    Folder::new(&files).run_xtask(&["cycles"])
 }
 
 #[test]
@@ -65,7 +65,7 @@
         .iter()
         .map(|(p, t)| (p.as_str(), t.as_str()))
         .collect();
-    let (passed, printed) = Folder::new(&files).xtask(&["cycles", "crates"]);
+    let (passed, printed) = Folder::new(&files).run_xtask(&["cycles", "crates"]);
     assert!(!passed);
     assert_eq!(printed.matches("a cycle of 2 modules").count(), 3);
     assert!(printed.contains("  deep::a -> deep::b\n"), "{printed}");
@@ -76,13 +76,13 @@
 fn imports_without_a_cycle_pass() {
     let (passed, printed) = check(&[
         ("lib.rs", "mod a;\npub use a::A;\nuse crate::b::B;\n"),
-        // A parent takes from its own modules, and they from it.
+        // A module may import from its submodules, and they from it.
         (
             "a.rs",
             "mod inner;\npub use inner::Inner;\nuse crate::b::B;\n",
         ),
         ("a/inner.rs", "use super::A;\nuse crate::b::B;\n"),
-        // Comments, tests, visibilities and other crates are no imports.
+        // Paths in comments, test files, visibilities and other crates do not count.
         (
             "b.rs",
             "// use crate::a::A;\n/// See [`crate::a::A`].\nuse other::a::A;\npub(in crate::a) struct B;\n",
@@ -96,11 +96,11 @@
 #[test]
 fn a_folder_without_crates_fails() {
     let folder = Folder::new(&[("crates/one/lib.rs", "\n")]);
-    let (passed, printed) = folder.xtask(&["cycles"]);
+    let (passed, printed) = folder.run_xtask(&["cycles"]);
     assert!(
         !passed && printed.contains("no crate in crates"),
         "{printed}"
     );
-    let (passed, printed) = folder.xtask(&["cycles", "gone"]);
+    let (passed, printed) = folder.run_xtask(&["cycles", "gone"]);
     assert!(!passed && printed.contains("cannot read gone"), "{printed}");
 }
--- a/crates/xtask/tests/decision_files.rs
+++ b/crates/xtask/tests/decision_files.rs
@@ -1,4 +1,4 @@
-//! The check of the decision module.
+//! Tests of `xtask decisions`, which checks the files that a deploy file lists as `policy`.
 
 mod support;
 
@@ -11,7 +11,7 @@
     let check = |policy: &str, text: &str| {
         let deploy = format!("run = \"exec node\"\npolicy = [{policy}]   # the decisions\n");
         Folder::new(&[("deploy.toml", &deploy), ("src/decide.rs", text)])
-            .xtask(&["decisions", "deploy.toml"])
+            .run_xtask(&["decisions", "deploy.toml"])
     };
     let good = "\"src/decide.rs\"";
     assert!(check(good, DECISION).0, "{:?}", check(good, DECISION));
--- a/crates/xtask/tests/sources.rs
+++ b/crates/xtask/tests/sources.rs
@@ -1,14 +1,15 @@
-//! The check of the layout of the sources.
+//! Tests of `xtask sources`, which checks the length of source files and the place of tests.
 
 mod support;
 
 use support::Folder;
 
-const MAX_LINES: usize = 400;
+/// The maximum number of non-blank lines that a source file may have.
+const MAX_NON_BLANK_LINES: usize = 400;
 
-/// Whether the check passes on these files, and what it prints.
+/// Returns whether the check passes on these files, and what it prints.
 fn check(files: &[(&str, &str)]) -> (bool, String) {
-    Folder::new(files).xtask(&["sources", "."])
+    Folder::new(files).run_xtask(&["sources", "."])
 }
 
 #[test]
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn every_form_of_the_test_attribute_counts() {
+fn every_form_of_the_test_attribute_is_recognized() {
     for attribute in [
         "#[test]",
         "    #[test]",
@@ -54,16 +55,16 @@
 }
 
 #[test]
-fn files_have_a_limit_of_non_blank_lines() {
+fn files_with_more_than_400_non_blank_lines_fail() {
     let line = "fn one() {}\n\n   \n";
-    let longest = line.repeat(MAX_LINES);
+    let longest = line.repeat(MAX_NON_BLANK_LINES);
     let (passed, printed) = check(&[("src/part.rs", &longest)]);
     assert!(passed, "{printed}");
-    let too_long = line.repeat(MAX_LINES + 1);
+    let too_long = line.repeat(MAX_NON_BLANK_LINES + 1);
     for file in ["src/part.rs", "tests/part.rs"] {
         let (passed, printed) = check(&[(file, &too_long)]);
         assert!(
-            !passed && printed.contains("has 401 non-blank lines of 400"),
+            !passed && printed.contains("has 401 non-blank lines; at most 400 are allowed"),
             "{file}: {printed}"
         );
     }
--- a/crates/xtask/tests/support/mod.rs
+++ b/crates/xtask/tests/support/mod.rs
@@ -1,15 +1,15 @@
-//! A folder of files for one run of the program.
+//! A temporary folder in which a test runs `xtask`.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// A folder with files, removed at the end of its test.
+/// A folder with files that is removed when it is dropped.
 pub(crate) struct Folder(PathBuf);
 
 impl Folder {
-    /// Writes files, each with its path and its text.
+    /// Creates a folder with these files, given as pairs of path and text.
     pub(crate) fn new(files: &[(&str, &str)]) -> Self {
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let number = NUMBER.fetch_add(1, Ordering::SeqCst);
@@ -17,23 +17,25 @@
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
         for (file, text) in files {
             let path = folder.join(file);
-            fs::create_dir_all(path.parent().expect("a folder")).expect("a folder");
-            fs::write(path, text).expect("a file");
+            fs::create_dir_all(path.parent().expect("the path has a parent"))
+                .expect("the folder can be created");
+            fs::write(path, text).expect("the file can be written");
         }
         Folder(folder)
     }
 
-    /// Runs the program in the folder. Returns whether it passes, and what it prints.
-    pub(crate) fn xtask(&self, arguments: &[&str]) -> (bool, String) {
-        let ended = Command::new(env!("CARGO_BIN_EXE_xtask"))
+    /// Runs `xtask` in the folder. Returns whether it succeeds, and its standard output.
+    pub(crate) fn run_xtask(&self, arguments: &[&str]) -> (bool, String) {
+        let output = Command::new(env!("CARGO_BIN_EXE_xtask"))
             .args(arguments)
             .current_dir(&self.0)
             .output()
-            .expect("it runs");
-        let printed = String::from_utf8_lossy(&ended.stdout).into_owned();
-        // An error of the arguments, which is written elsewhere, is no finding of a check.
-        assert!(ended.stderr.is_empty(), "{ended:?}");
-        (ended.status.success(), printed)
+            .expect("xtask can be started");
+        let printed = String::from_utf8_lossy(&output.stdout).into_owned();
+        // Errors in the arguments go to standard error. They also make the exit code non-zero, but
+        // must not count as a finding of a check.
+        assert!(output.stderr.is_empty(), "{output:?}");
+        (output.status.success(), printed)
     }
 }
 
--- a/crates/xtask/tests/verdict.rs
+++ b/crates/xtask/tests/verdict.rs
@@ -1,17 +1,21 @@
-//! The verdict on a run of the tests, with and without tests that are known to fail.
+//! Tests of `xtask verdict`, which decides whether a test run passes, given the tests that are
+//! known to fail.
 
 mod support;
 
 use support::Folder;
 
-/// A test program as cargo announces it, and its tests.
+/// A test program and its tests.
 struct TestProgram {
+    /// The line with which cargo announces the program.
     announcement: &'static str,
     /// The program's name in `KNOWN-RED.txt`.
     name: &'static str,
+    /// The names of its tests.
     tests: &'static [&'static str],
 }
 
+/// The test programs of a run. Tests named `quick` are in four of them.
 const PROGRAMS: [TestProgram; 5] = [
     TestProgram {
         announcement: "     Running unittests src/main.rs (target/debug/deps/ottertiller-247230490af31305)",
@@ -40,11 +44,13 @@
     },
 ];
 
+/// The full names of two tests of the same program.
 const SLOW: &str = "node/tests/node.rs::slow";
 const QUICK: &str = "node/tests/node.rs::quick";
-const SLOW_IS_KNOWN: &str = "node/tests/node.rs::slow | the clock stands still | issue 7\n";
+/// A `KNOWN-RED.txt` that lists [`SLOW`].
+const SLOW_IS_KNOWN: &str = "node/tests/node.rs::slow | the timer never fires | issue 7\n";
 
-/// What `cargo test -- --list` prints.
+/// Returns what `cargo test -- --list` prints.
 fn listing() -> String {
     let list = |program: &TestProgram| {
         let tests: String = program
@@ -61,7 +67,7 @@
     PROGRAMS.iter().map(list).collect()
 }
 
-/// What a run prints in which these tests failed.
+/// Returns what a test run prints if these tests fail.
 fn output(failed: &[&str]) -> String {
     PROGRAMS
         .iter()
@@ -69,6 +75,7 @@
         .collect()
 }
 
+/// Returns what a program prints if these tests fail.
 fn program_output(program: &TestProgram, failed: &[&str]) -> String {
     let has_failed = |test: &&&str| failed.contains(&format!("{}::{test}", program.name).as_str());
     let failed: Vec<&&str> = program.tests.iter().filter(has_failed).collect();
@@ -91,26 +98,33 @@
     )
 }
 
-/// Whether CI passes, and what it prints.
+/// Whether `xtask verdict` passes, and what it prints.
 struct Verdict {
     passed: bool,
     printed: String,
 }
 
+/// Runs `xtask verdict` on a run with this output, exit code and list of known failures.
 fn verdict(output: &str, status: i32, known: Option<&str>) -> Verdict {
-    verdict_on(&listing(), output, status, known)
+    verdict_with_listing(&listing(), output, status, known)
 }
 
-fn verdict_on(listing: &str, output: &str, status: i32, known: Option<&str>) -> Verdict {
-    let mut files = vec![("tests", listing), ("output", output)];
+/// Like [`verdict`], with another list of the existing tests.
+fn verdict_with_listing(listing: &str, output: &str, status: i32, known: Option<&str>) -> Verdict {
+    let mut files = vec![("listing", listing), ("output", output)];
     files.extend(known.map(|known| ("known", known)));
-    let (passed, printed) =
-        Folder::new(&files).xtask(&["verdict", "tests", "output", &status.to_string(), "known"]);
+    let (passed, printed) = Folder::new(&files).run_xtask(&[
+        "verdict",
+        "listing",
+        "output",
+        &status.to_string(),
+        "known",
+    ]);
     Verdict { passed, printed }
 }
 
 #[test]
-fn a_run_without_failures_passes_and_any_other_failure_does_not() {
+fn a_run_passes_unless_a_test_that_is_not_listed_fails() {
     assert!(verdict(&output(&[]), 0, None).passed);
     let Verdict { passed, printed } = verdict(&output(&[SLOW]), 101, None);
     assert!(
@@ -120,18 +134,18 @@
     let both = output(&[QUICK, SLOW]);
     assert!(
         !verdict(&both, 101, Some(SLOW_IS_KNOWN)).passed,
-        "one of them is not listed"
+        "only one of the two failed tests is listed"
     );
     let other = SLOW_IS_KNOWN.replace(SLOW, "ottertiller_balancer/src/lib.rs::quick");
     let Verdict { passed, printed } = verdict(&output(&[QUICK]), 101, Some(&other));
     assert!(
         !passed && printed.contains("quick failed"),
-        "the listed one is in another file: {printed}"
+        "the listed test is in another program: {printed}"
     );
 }
 
 #[test]
-fn same_test_names_in_two_packages_are_told_apart() {
+fn tests_of_the_same_name_in_two_packages_are_distinguished() {
     let (node, adapter) = (
         "ottertiller/src/main.rs::quick",
         "ottertiller_simulator_adapter/src/main.rs::quick",
@@ -149,9 +163,10 @@
 }
 
 #[test]
-fn two_programs_of_the_same_name_fail() {
+fn two_programs_with_the_same_name_fail() {
     let twice = |text: String| text.replace("ottertiller_simulator_adapter", "ottertiller");
-    let Verdict { passed, printed } = verdict_on(&twice(listing()), &twice(output(&[])), 0, None);
+    let Verdict { passed, printed } =
+        verdict_with_listing(&twice(listing()), &twice(output(&[])), 0, None);
     assert!(
         !passed && printed.contains("same name: ottertiller/src/main.rs"),
         "{printed}"
@@ -159,7 +174,7 @@
 }
 
 #[test]
-fn a_listed_failure_is_passed_over_and_printed() {
+fn a_listed_failure_is_accepted_and_printed() {
     let Verdict { passed, printed } = verdict(&output(&[SLOW]), 101, Some(SLOW_IS_KNOWN));
     assert!(
         passed && printed.contains(SLOW_IS_KNOWN.trim_end()),
@@ -173,7 +188,7 @@
 }
 
 #[test]
-fn a_failed_test_of_the_documentation_can_be_listed() {
+fn a_failed_documentation_test_can_be_listed() {
     let test = "ottertiller_balancer/doc-tests::README.md - (line 1)";
     assert!(!verdict(&output(&[test]), 101, None).passed);
     let known = SLOW_IS_KNOWN.replace(SLOW, test);
@@ -191,9 +206,9 @@
     ];
     let cases = [
         "node/tests/node.rs::slow\n".to_owned(),
-        "node/tests/node.rs::slow | the clock stands still\n".to_owned(),
+        "node/tests/node.rs::slow | the timer never fires\n".to_owned(),
         SLOW_IS_KNOWN.replace("issue 7", "issue seven"),
-        SLOW_IS_KNOWN.replace("the clock stands still", " "),
+        SLOW_IS_KNOWN.replace("the timer never fires", " "),
         format!("{SLOW_IS_KNOWN}\n"),
         format!("{SLOW_IS_KNOWN}{SLOW_IS_KNOWN}"),
         known("node/tests/node.rs::gone"),
@@ -211,19 +226,20 @@
 }
 
 #[test]
-fn a_run_that_did_not_come_to_an_end_is_never_passed_over() {
-    // A build that fails prints no test; a program that crashes prints no result; and not all can
-    // be named.
+fn an_incomplete_run_fails_despite_a_listed_failure() {
+    // A failed build starts no test program.
     let build_failure = "error: could not compile `ottertiller-balancer`\n";
     assert!(!verdict(build_failure, 101, Some(SLOW_IS_KNOWN)).passed);
-    let whole = output(&[SLOW]);
-    let crashed = whole.replace("test result: FAILED", "signal: 11");
+    // A test program that crashes prints no result.
+    let complete = output(&[SLOW]);
+    let crashed = complete.replace("test result: FAILED", "signal: 11");
     assert!(!verdict(&crashed, 101, Some(SLOW_IS_KNOWN)).passed);
-    let unnamed = whole.replace("1 failed", "2 failed");
+    // The output names fewer failed tests than the result counts.
+    let unnamed = complete.replace("1 failed", "2 failed");
     assert!(!verdict(&unnamed, 101, Some(SLOW_IS_KNOWN)).passed);
     let no_failure = verdict(&output(&[]), 101, Some(SLOW_IS_KNOWN));
     assert!(
         !no_failure.passed,
-        "something ended badly, though no test failed"
+        "the run exited with code 101, although no test failed"
     );
 }
