--- a/crates/xtask/src/cycles/import_graph.rs
+++ b/crates/xtask/src/cycles/import_graph.rs
@@ -15,15 +15,15 @@
 impl ImportGraph {
     /// Builds the graph of the imports in the files of a crate.
     pub(super) fn new<'a>(files: impl Iterator<Item = &'a SourceFile>) -> Self {
-        let named = files.map(|file| (ModulePath::of_file(&file.path), file.text.as_str()));
-        let sources: BTreeMap<ModulePath, &str> = named.collect();
-        let modules: BTreeSet<ModulePath> = sources.keys().cloned().collect();
-        let with_imports = sources.into_iter().map(|(module, text)| {
+        let module_texts = files.map(|file| (ModulePath::of_file(&file.path), file.text.as_str()));
+        let text_by_module: BTreeMap<ModulePath, &str> = module_texts.collect();
+        let modules: BTreeSet<ModulePath> = text_by_module.keys().cloned().collect();
+        let imports = text_by_module.into_iter().map(|(module, text)| {
             let imported = imported_modules(&module, text, &modules);
             (module, imported)
         });
         ImportGraph {
-            imports: with_imports.collect(),
+            imports: imports.collect(),
         }
     }
 
--- a/crates/xtask/src/source_tree.rs
+++ b/crates/xtask/src/source_tree.rs
@@ -20,8 +20,8 @@
     /// Returns whether the file may contain tests: it is below a folder named `tests`, or is named
     /// `tests.rs` or `*_tests.rs`.
     pub(crate) fn is_test_file(&self) -> bool {
-        let rooted = format!("/{}", self.path);
-        rooted.contains("/tests/") || rooted.ends_with("/tests.rs") || rooted.ends_with("_tests.rs")
+        let path = format!("/{}", self.path);
+        path.contains("/tests/") || path.ends_with("/tests.rs") || path.ends_with("_tests.rs")
     }
 
     /// Counts the lines that are not blank.
