--- a/crates/balancer/src/estimates.rs
+++ b/crates/balancer/src/estimates.rs
@@ -2,10 +2,10 @@
 //! node has observed.
 
 mod declared_work;
-mod endpoint_share;
 pub(crate) mod load_snapshot;
 mod response_times;
+mod warm_endpoint_rate;
 
 pub(crate) use declared_work::DeclaredWork;
-pub(crate) use endpoint_share::WarmEndpointRate;
 pub(crate) use response_times::ResponseTimes;
+pub(crate) use warm_endpoint_rate::WarmEndpointRate;
