--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -1,9 +1,9 @@
 //! Admission control: a request is rejected if no endpoint is likely to respond to it in time.
 //!
 //! Each endpoint is judged by its load level. A level is open while most attempts that started at
-//! it are in time; an endpoint at a closed level admits almost no requests. If endpoints respond
-//! late although this node sees little load on them, since many nodes send to them, only a share of
-//! requests is admitted, with higher priorities first.
+//! it are in time; an endpoint at a closed level admits almost no requests. Lateness that this
+//! node's own load does not explain, since many nodes send to the same endpoints, lowers the share
+//! of requests that is admitted at open levels, with higher priorities first.
 
 use crate::Settings;
 use crate::endpoints::Endpoint;
@@ -16,21 +16,23 @@
 const LOAD_LEVELS: usize = 64;
 /// The share of attempts in time from which a load level is open.
 const MIN_IN_TIME_SHARE: f64 = 0.75;
-/// The number of load levels, from 0 on, that are open at the start.
+/// The number of load levels, from 0 on, that are open at the start. Level 0 is always open.
 const INITIALLY_OPEN_LEVELS: usize = 2;
 /// The share of attempts in time that the closed load levels have at the start.
 const INITIAL_SHARE_OF_CLOSED_LEVELS: f64 = 0.25;
 /// The maximum admitted share. The part above 1 is a reserve for attempts that are late by chance.
 const MAX_ADMITTED_SHARE: f64 = 2.0;
-/// What each attempt in time adds to the admitted share. At the maximum, the share is stable if
-/// seven of eight attempts are in time. At 1, below which requests are rejected, it is stable if
-/// seven of nine are.
+/// What each attempt in time adds to the admitted share. Each late attempt lowers the share by up
+/// to the fraction [`SMOOTHING`] of its value ([`Admission::record_late`]). The maximum share is
+/// therefore stable if seven of eight attempts are in time, and a share of 1, below which requests
+/// are rejected, if seven of nine are.
 const ADMITTED_SHARE_STEP: f64 = SMOOTHING * MAX_ADMITTED_SHARE / 7.0;
-/// The minimum admitted share. An overload ends only if almost no requests are sent.
+/// The minimum admitted share: 1/64. An overload ends only if almost no requests are sent.
 const MIN_ADMITTED_SHARE: f64 = SMOOTHING * SMOOTHING;
-/// The share of requests that are always admitted at an endpoint without attempts in flight. Only
-/// their responses show that an overload has ended.
-const ALWAYS_ADMITTED_SHARE: f64 = SMOOTHING / 2.0;
+/// The share of requests that probe an endpoint for the end of an overload: 1/16. They are admitted
+/// at any load level if this node has no attempt in flight there. While the level is closed, only
+/// their responses show that the overload has ended.
+const OVERLOAD_PROBE_SHARE: f64 = SMOOTHING / 2.0;
 /// The share of busy load reports below which endpoints count as mostly idle.
 const MOSTLY_IDLE_BUSY_SHARE: f64 = 0.5;
 
@@ -39,10 +41,12 @@
     (load.round() as usize).min(LOAD_LEVELS - 1)
 }
 
-/// Returns whether a request cannot finish in time even at an idle endpoint: its declared work is
-/// at least its time left. While most endpoints are idle, the work may be up to twice that, since
-/// declared work is not exact.
-pub(crate) fn cannot_finish_in_time(
+/// Returns whether a request declares too much work to be sent: at least its time left or, while
+/// most endpoints are idle, at least twice its time left.
+///
+/// Declared work is not exact, so a request with more work than time left may still finish in time.
+/// While most endpoints are busy, it would displace other requests.
+pub(crate) fn has_too_much_work(
     declared_work: Option<Duration>,
     time_left: Duration,
     busy_share: f64,
@@ -88,8 +92,8 @@
         loads: &LoadSnapshot,
         request: &AdmissionRequest,
     ) -> bool {
-        let is_always_admitted = endpoint.in_flight == 0 && request.draw < ALWAYS_ADMITTED_SHARE;
-        is_always_admitted
+        let is_overload_probe = endpoint.in_flight == 0 && request.draw < OVERLOAD_PROBE_SHARE;
+        is_overload_probe
             || self.is_open(endpoint, loads) && self.admits_request(endpoint, loads, request)
     }
 
@@ -131,21 +135,23 @@
         self.admitted_share = (self.admitted_share + ADMITTED_SHARE_STEP).min(MAX_ADMITTED_SHARE);
     }
 
-    /// Records a late attempt. It would have been late at a higher load too, so it counts for all
-    /// higher levels.
+    /// Records a late attempt. It would have been late at a higher load too, so it counts for its
+    /// own and all higher levels. Level 0 is always open, so nothing is recorded for it.
     ///
-    /// The admitted share falls only for the part of the load that is not this node's own, where
-    /// the endpoint is unhealthy or other nodes send to it. The node's own part is limited by the
-    /// load levels; at level 0 it is zero.
+    /// The admitted share falls in proportion to the part of the lateness that this node's own load
+    /// does not explain, since the endpoint is unhealthy or other nodes send to it. All nodes are
+    /// assumed to send equally, so `1 / node_count` of the load is this node's own, or none at
+    /// level 0. The load levels limit the node's own load.
     fn record_late(&mut self, level: usize) {
-        let mut own_part = 0.0;
+        let mut own_load_share = 0.0;
         if level > 0 {
             for share in &mut self.in_time_shares[level..] {
                 smooth(share, 0.0, SMOOTHING);
             }
-            own_part = 1.0 / self.node_count;
+            own_load_share = 1.0 / self.node_count;
         }
-        let reduced = self.admitted_share - self.admitted_share * SMOOTHING * (1.0 - own_part);
+        let reduced =
+            self.admitted_share - self.admitted_share * SMOOTHING * (1.0 - own_load_share);
         self.admitted_share = reduced.max(MIN_ADMITTED_SHARE);
     }
 }
--- a/crates/balancer/src/balancer/life_cycle.rs
+++ b/crates/balancer/src/balancer/life_cycle.rs
@@ -10,7 +10,8 @@
 const MAX_OBJECTIVE_STRETCH: f64 = 1e3;
 
 impl Balancer {
-    /// Registers a new request and routes it, or rejects it at once if it cannot finish in time.
+    /// Registers a new request and routes it, or rejects it at once if it declares more work than
+    /// its time left allows.
     pub(super) fn on_request(&mut self, new_request: NewRequest, actions: &mut Vec<Action>) {
         let class = new_request.class.min(self.settings.classes.len() - 1);
         let deadline = self.effective_deadline(&new_request, class);
@@ -32,7 +33,7 @@
         self.requests.insert(new_request.id, request);
         let time_left = deadline.saturating_sub(self.now);
         let busy_share = self.join_up_to.busy_share();
-        if admission::cannot_finish_in_time(new_request.cost_hint, time_left, busy_share) {
+        if admission::has_too_much_work(new_request.cost_hint, time_left, busy_share) {
             return self.reject(new_request.id, actions);
         }
         actions.push(Action::SetTimer {
--- a/crates/balancer/src/balancer/routing.rs
+++ b/crates/balancer/src/balancer/routing.rs
@@ -4,7 +4,8 @@
 //! An endpoint is selected in these steps:
 //!
 //! 1. The rules in `eligibility` determine the eligible endpoints. No later step overrides them.
-//! 2. Outlier ejection keeps the healthy endpoints, or all of them if none is healthy.
+//! 2. Outlier ejection keeps the healthy endpoints, or all of them if none is healthy. For a few
+//!    requests, it keeps only endpoints on probation, to probe them.
 //! 3. Admission control keeps the endpoints that are likely to respond in time.
 //! 4. Endpoints with more than the average load of those that remain are left out.
 //! 5. Join-Up-To(m) selects one of the rest. If all have reached the cap m, health checks may find
--- a/crates/balancer/src/health/active_check.rs
+++ b/crates/balancer/src/health/active_check.rs
@@ -22,7 +22,7 @@
 
 /// Decides on health checks, and counts those in flight.
 pub(crate) struct ActiveChecks {
-    /// The cost of one health check for each request, as a fraction of the service.
+    /// The cost of one health check, in units of the mean request.
     cost: f64,
     weight_by_work: bool,
     tick: Duration,
--- a/crates/balancer/src/health/outlier_ejection.rs
+++ b/crates/balancer/src/health/outlier_ejection.rs
@@ -13,11 +13,12 @@
 const MIN_FAILURE_RATE_RATIO: f64 = 1.5;
 /// The ejection time doubles with each ejection in a row, up to this many times.
 const MAX_DOUBLINGS: u32 = 4;
-/// The share of requests that may probe an endpoint on probation.
+/// The share of requests that may probe an endpoint on probation. If several endpoints were ejected
+/// and every request could probe, a quiet node would use most of its requests as probes.
 const PROBE_SHARE: f64 = SMOOTHING;
-/// The factor by which that share is smaller for requests that cannot be retried. Otherwise probes
-/// would take most of the requests of a quiet node.
-const UNRETRYABLE_PROBE_DIVISOR: f64 = 4.0;
+/// The factor by which that share is smaller for requests that are not idempotent. They cannot be
+/// retried if the failed probe may have run them.
+const NOT_IDEMPOTENT_PROBE_DIVISOR: f64 = 4.0;
 
 /// What follows from a health signal for the endpoint that it concerns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -116,7 +117,7 @@
 /// random number in the range `[0, 1)`.
 pub(crate) fn may_probe(idempotency: Idempotency, draw: f64) -> bool {
     match idempotency {
-        Idempotency::NotIdempotent => draw * UNRETRYABLE_PROBE_DIVISOR < PROBE_SHARE,
+        Idempotency::NotIdempotent => draw * NOT_IDEMPOTENT_PROBE_DIVISOR < PROBE_SHARE,
         Idempotency::Idempotent | Idempotency::Keyed { .. } => draw < PROBE_SHARE,
     }
 }
--- a/crates/balancer/src/priority.rs
+++ b/crates/balancer/src/priority.rs
@@ -7,8 +7,8 @@
 
 /// The maximum priority, as a multiple of the mean request's.
 const MAX_PRIORITY: f64 = 1e3;
-/// The lower bound on the objective's weight of the whole time, by which the weight of the
-/// worst-served class is divided.
+/// The lower bound on [`ObjectiveWeights::overall`](crate::ObjectiveWeights::overall), by which the
+/// weight of the worst-served class is divided.
 const MIN_OVERALL_WEIGHT: f64 = SMOOTHING;
 /// The lower bound on the mean weight that a request's weight is divided by.
 const MIN_MEAN_WEIGHT: f64 = 1e-9;
@@ -20,9 +20,9 @@
     quotas: Vec<Quota>,
     /// The factor on the weight of a request whose tenant is over its quota.
     over_quota_weight: f64,
-    /// The objective's weight of the worst-served class.
+    /// The weight of the service of the worst-served class in the objective.
     worst_class_weight: f64,
-    /// The objective's weight of the whole time.
+    /// The weight of the service over the whole time in the objective.
     overall_weight: f64,
     /// The moving average of the weights of requests.
     mean_weight: f64,
@@ -52,18 +52,19 @@
 
     /// Records a new request and returns its priority.
     ///
-    /// The objective's weight of the worst-served class is spread evenly over all classes, since
-    /// any may become the worst.
+    /// The weight of the worst-served class in the objective is spread evenly over the requests of
+    /// all classes, since any class may become the worst-served.
     pub(crate) fn record_request(&mut self, class: usize, tenant: usize, now: Duration) -> f64 {
-        let factor = if self.is_over_quota(tenant, now) {
+        let quota_factor = if self.is_over_quota(tenant, now) {
             self.over_quota_weight
         } else {
             1.0
         };
-        let weight = self.class_weights[class] * factor;
+        let weight = self.class_weights[class] * quota_factor;
         smooth(&mut self.mean_weight, weight, SLOW_SMOOTHING);
-        let even_part = self.mean_weight * self.worst_class_weight / self.overall_weight;
-        let relative = (weight + even_part) / (self.mean_weight + even_part).max(MIN_MEAN_WEIGHT);
+        let worst_class_part = self.mean_weight * self.worst_class_weight / self.overall_weight;
+        let relative = (weight + worst_class_part)
+            / (self.mean_weight + worst_class_part).max(MIN_MEAN_WEIGHT);
         relative.clamp(0.0, MAX_PRIORITY)
     }
 
@@ -75,7 +76,8 @@
     }
 }
 
-/// One node's part of a tenant's quota: a rate of requests, with a burst of one second.
+/// One node's part of a tenant's quota: a rate of requests, with a burst of one second's requests,
+/// but at least one.
 struct Quota {
     requests_per_second: f64,
     tokens: TokenBucket,
--- a/crates/balancer/src/retry/budget.rs
+++ b/crates/balancer/src/retry/budget.rs
@@ -3,7 +3,7 @@
 
 use crate::numeric::TokenBucket;
 
-/// The tokens that each request adds, each for one further attempt.
+/// The tokens that each request adds. One further attempt takes one token.
 const TOKENS_PER_REQUEST: f64 = 0.4;
 /// The tokens that a node starts with, before requests have added any.
 const INITIAL_TOKENS: f64 = 1.0 / TOKENS_PER_REQUEST;
--- a/crates/balancer/src/routing/slow_start.rs
+++ b/crates/balancer/src/routing/slow_start.rs
@@ -1,10 +1,12 @@
 //! Slow start: an endpoint that has just started is sent no more than its present capacity
 //! allows (settings keys `ColdFrom`, `RampTime`, `OverloadFactor` and `TipAfter`).
 //!
-//! During slow start, an endpoint is sent one request per permit. A warm endpoint serves all nodes
-//! together at less than its capacity, so each node draws permits at a multiple of the rate at
-//! which a warm endpoint serves that node. Permits are drawn at random and expire soon; otherwise
-//! hundreds of quiet nodes could accumulate permits and spend them in one burst.
+//! During slow start, an endpoint is sent one request per permit. A node does not know the capacity
+//! of endpoints. Instead of its part of that capacity, it uses the peak rate at which a warm
+//! endpoint serves this node, since a warm endpoint serves all nodes together at less than its
+//! capacity. The rate of permits is this rate times the fraction of the capacity that is guaranteed
+//! at the age of the endpoint, times a load factor. Permits are drawn at random and expire soon;
+//! otherwise hundreds of quiet nodes could accumulate permits and spend them in one burst.
 
 use crate::endpoints::{Endpoint, EndpointSet, Permit};
 use crate::estimates::WarmEndpointRate;
--- a/crates/balancer/src/routing/subset.rs
+++ b/crates/balancer/src/routing/subset.rs
@@ -1,26 +1,27 @@
 //! Subsetting: the number of endpoints that a node uses. If that number is n, the subset is the
-//! first n endpoints on the ring from the node's own place (`endpoints/ring.rs`).
+//! first n endpoints on the ring from the node's own position (`endpoints/ring.rs`).
 
 use crate::Settings;
 use crate::numeric::{DecayingRate, Seconds};
 use std::time::Duration;
 
-/// The maximum cost of connections, as a fraction of the service. It is small compared to the cost
-/// of sending requests without information on the endpoints.
+/// The maximum cost of connections, in the unit of [`CostWeights`](crate::CostWeights). It is small
+/// compared to the cost of sending requests without information on the endpoints.
 const MAX_CONNECTION_COST: f64 = 0.01;
-/// The number of open connections to each endpoint that `CostWeights::connections` is the cost of.
-const CONNECTIONS_PER_COST_WEIGHT: f64 = 100.0;
+/// The number of open connections to each endpoint, over all nodes, that together cost
+/// [`CostWeights::connections`](crate::CostWeights::connections).
+const REFERENCE_CONNECTIONS: f64 = 100.0;
 /// How often the node should observe each endpoint within the rate window. An endpoint that is
 /// rarely observed is never found to be slow or gone.
 const OBSERVATIONS_PER_WINDOW: f64 = 3.0;
-/// The number of observations of an endpoint per send: with health checks the node observes it
-/// twice as often.
-const OBSERVATIONS_PER_SEND_WITH_CHECKS: f64 = 2.0;
-/// The least number of endpoints that a node's own traffic is assumed to observe often enough, even
-/// if the node is quiet. With health checks it is [`OBSERVATIONS_PER_SEND_WITH_CHECKS`] times as
-/// many.
-const MIN_OBSERVABLE_ENDPOINTS: f64 = 6.0;
-/// The endpoints to choose from beyond those that have a request in flight each.
+/// The assumed number of observations per attempt sent if loads are polled: health checks, which
+/// are sent for requests, double the observations. Otherwise only the attempt itself counts.
+const OBSERVATIONS_PER_SEND_IF_POLLED: f64 = 2.0;
+/// The lower bound on the observation limit of [`Subset::size`], in endpoints: a quiet node counts
+/// as sending the attempts that observe 6 endpoints [`OBSERVATIONS_PER_WINDOW`] times, which are 18
+/// per window. If loads are polled, these 18 attempts observe 12 endpoints.
+const MIN_OBSERVATION_LIMIT: f64 = 6.0;
+/// The endpoints to choose from beyond those that have an attempt in flight each.
 const SPARE_ENDPOINTS: f64 = 2.0;
 /// The maximum size of a subset, which bounds the number of endpoints compared for each request.
 const MAX_SUBSET_SIZE: usize = 64;
@@ -36,8 +37,8 @@
     /// [`MAX_CONNECTION_COST`].
     affordable_connections: f64,
     node_count: f64,
-    /// How often the node should send a request to each endpoint within the window.
-    sends_per_window: f64,
+    /// How many attempts the node should send to each endpoint within the window.
+    sends_per_endpoint: f64,
     window: Seconds,
     /// The rate of this node's attempts.
     send_rate: DecayingRate,
@@ -47,35 +48,38 @@
     /// Returns the state before the first send.
     pub(crate) fn new(settings: &Settings) -> Self {
         let observations_per_send = if settings.loads_are_polled() {
-            OBSERVATIONS_PER_SEND_WITH_CHECKS
+            OBSERVATIONS_PER_SEND_IF_POLLED
         } else {
             1.0
         };
         let window = settings.rate_window();
         Subset {
-            affordable_connections: CONNECTIONS_PER_COST_WEIGHT * MAX_CONNECTION_COST
+            affordable_connections: REFERENCE_CONNECTIONS * MAX_CONNECTION_COST
                 / settings.cost_weights.connections,
             node_count: f64::from(settings.node_count),
-            sends_per_window: OBSERVATIONS_PER_WINDOW / observations_per_send,
+            sends_per_endpoint: OBSERVATIONS_PER_WINDOW / observations_per_send,
             window,
             send_rate: DecayingRate::new(window),
         }
     }
 
-    /// Records an attempt that was sent.
+    /// Records that this node has sent an attempt.
     pub(crate) fn record_send(&mut self, now: Duration) {
         self.send_rate.add(now, 1.0);
     }
 
     /// Returns how many of the ready endpoints to use: as many as the cost of connections allows
-    /// and the node's own traffic can observe, but at least the mean number of requests in flight
-    /// (Little's law) plus [`SPARE_ENDPOINTS`], and at most [`MAX_SUBSET_SIZE`].
+    /// and the node's own attempts can observe, but at least the mean number of attempts in flight
+    /// (Little's law) plus [`SPARE_ENDPOINTS`], and at most [`MAX_SUBSET_SIZE`]. The result may
+    /// exceed `ready`.
     pub(crate) fn size(&self, ready: usize, mean_response_time: Seconds, now: Duration) -> usize {
         let rate = self.send_rate.per_second(now);
+        // Each node is assumed to keep one connection to each endpoint of its subset, which makes
+        // `node_count * size / ready` connections to each endpoint.
         let affordable = self.affordable_connections * ready as f64 / self.node_count;
-        let min_sends = MIN_OBSERVABLE_ENDPOINTS * OBSERVATIONS_PER_WINDOW;
+        let min_sends = MIN_OBSERVATION_LIMIT * OBSERVATIONS_PER_WINDOW;
         let sends = (rate * self.window.as_f64()).max(min_sends);
-        let observable = sends / self.sends_per_window;
+        let observable = sends / self.sends_per_endpoint;
         let mean_in_flight = rate * mean_response_time.as_f64();
         let size = affordable
             .min(observable)
--- a/crates/balancer/src/settings/model.rs
+++ b/crates/balancer/src/settings/model.rs
@@ -145,7 +145,8 @@
     pub poll_interval: Duration,
 }
 
-/// The costs that are deducted from the objective, as fractions of the service.
+/// The costs that are deducted from the objective, as fractions of the total weight of all
+/// requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CostWeights {
     /// The cost of one health check per request.
