--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -12,7 +12,8 @@
 use crate::numeric::{SMOOTHING, smooth};
 use std::time::Duration;
 
-/// The number of load levels. Higher loads count as the highest level.
+/// The number of load levels: one for each whole number of requests at an endpoint. Higher loads
+/// count as the highest level.
 const LOAD_LEVELS: usize = 64;
 /// The share of attempts in time from which a load level is open.
 const MIN_IN_TIME_SHARE: f64 = 0.75;
@@ -36,7 +37,7 @@
 /// The share of busy load reports below which endpoints count as mostly idle.
 const MOSTLY_IDLE_BUSY_SHARE: f64 = 0.5;
 
-/// Returns the load level of an endpoint with this load.
+/// Returns the load level of an endpoint with this load: the load, rounded to whole requests.
 pub(crate) fn load_level(load: f64) -> usize {
     (load.round() as usize).min(LOAD_LEVELS - 1)
 }
--- a/crates/balancer/src/balancer/routing.rs
+++ b/crates/balancer/src/balancer/routing.rs
@@ -42,8 +42,8 @@
     /// Do nothing: the request is closed, is queued for health checks, or has an attempt in flight
     /// that may be served.
     Wait,
-    /// Route the request again later. No endpoint is eligible: none is ready, or all ready ones are
-    /// in slow start and have no permit for it.
+    /// Route the request again later. No endpoint is eligible for its first attempt: none is ready,
+    /// or all ready ones are in slow start and have no permit for it.
     WaitForEndpoint,
     /// Send the request to this endpoint.
     Send(EndpointId),
@@ -53,8 +53,8 @@
         unknown: Vec<EndpointId>,
         fallback: Option<EndpointId>,
     },
-    /// Reject the request: no further attempt is allowed, or no endpoint is likely to respond in
-    /// time.
+    /// Reject the request: no further attempt is allowed, no endpoint is eligible for a retry, or
+    /// no endpoint is likely to respond in time.
     Reject,
 }
 
--- a/crates/balancer/src/endpoint_polling.rs
+++ b/crates/balancer/src/endpoint_polling.rs
@@ -36,6 +36,7 @@
     /// Returns the schedule of a node that has not started.
     pub(crate) fn new(settings: &Settings) -> Self {
         let interval = settings.rules.poll_interval;
+        // A failed call is repeated within the poll interval, however short that is.
         let shortest = FIRST_BACKOFF.min(interval / 16);
         let longest = MAX_BACKOFF.min(interval / 2);
         EndpointPolling {
--- a/crates/balancer/src/health/observation.rs
+++ b/crates/balancer/src/health/observation.rs
@@ -7,7 +7,8 @@
 use crate::{AttemptEnd, Outcome, RequestClass};
 use std::time::Duration;
 
-/// An attempt is near its deadline if it has taken more than this many quarters of its time.
+/// An attempt is near its deadline if it has taken more than this many quarters of its time
+/// ([`is_near_deadline`]).
 const NEAR_DEADLINE_QUARTERS: u32 = 3;
 /// The same for a class in which late responses have a weight.
 const NEAR_DEADLINE_QUARTERS_WITH_LATE_WEIGHT: u32 = 5;
@@ -17,7 +18,7 @@
 pub(crate) enum Timeliness {
     /// The endpoint responds in time.
     InTime,
-    /// The endpoint responds late, or not at all.
+    /// The endpoint responds late or not at all, or rejects requests.
     Late,
 }
 
--- a/crates/balancer/src/retry/budget.rs
+++ b/crates/balancer/src/retry/budget.rs
@@ -5,9 +5,10 @@
 
 /// The tokens that each request adds. One further attempt takes one token.
 const TOKENS_PER_REQUEST: f64 = 0.4;
-/// The tokens that a node starts with, before requests have added any.
+/// The tokens that a node starts with, before requests have added any: 2.5.
 const INITIAL_TOKENS: f64 = 1.0 / TOKENS_PER_REQUEST;
-/// The maximum number of tokens, so that a quiet period cannot accumulate a burst of retries.
+/// The maximum number of tokens: 5. The limit keeps a quiet period from accumulating a burst of
+/// retries.
 const MAX_TOKENS: f64 = 2.0 / TOKENS_PER_REQUEST;
 
 /// The budget of a node for retries and hedged requests.
--- a/crates/balancer/src/retry/client_retry.rs
+++ b/crates/balancer/src/retry/client_retry.rs
@@ -17,7 +17,7 @@
 pub(crate) struct ClientRetries {
     /// The deadline of each class.
     deadlines: Vec<Duration>,
-    /// How long clients wait for their first try, by class.
+    /// How long a client waits for its first try, as of the latest first try of each class.
     first_try_timeouts: Vec<Duration>,
     /// The shortest time from a first try to its retry, among the retries that show this time.
     shortest_time_to_retry: Option<Duration>,
--- a/crates/balancer/src/routing/slow_start.rs
+++ b/crates/balancer/src/routing/slow_start.rs
@@ -103,7 +103,8 @@
     }
 
     /// Draws one permit. The probability to get it is that of at least one event of a Poisson
-    /// process with this rate since the last draw: `1 - exp(-rate * elapsed)`.
+    /// process with this rate since the last draw: `1 - exp(-rate * elapsed)`. Time before the last
+    /// permit lifetime does not count, since a permit from that time would have expired.
     fn draw_permit(&self, permit: &mut Permit, rate: f64, draw: f64, now: Duration) {
         let elapsed = permit
             .since_draw(now)
--- a/crates/balancer/src/routing/subset.rs
+++ b/crates/balancer/src/routing/subset.rs
@@ -8,8 +8,9 @@
 /// The maximum cost of connections, in the unit of [`CostWeights`](crate::CostWeights). It is small
 /// compared to the cost of sending requests without information on the endpoints.
 const MAX_CONNECTION_COST: f64 = 0.01;
-/// The number of open connections to each endpoint, over all nodes, that together cost
-/// [`CostWeights::connections`](crate::CostWeights::connections).
+/// The number of open connections to each endpoint, over all nodes, whose cost is assumed to be the
+/// whole of [`CostWeights::connections`](crate::CostWeights::connections), although that includes
+/// the cost of new connections.
 const REFERENCE_CONNECTIONS: f64 = 100.0;
 /// How often the node should observe each endpoint within the rate window. An endpoint that is
 /// rarely observed is never found to be slow or gone.
