--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -126,7 +126,7 @@
     }
 
     /// Records an attempt in time. It would have been in time at a lower load too, so it counts for
-    /// all lower levels, and with half the weight for the next higher level.
+    /// its own and all lower levels, and with half the weight for the next higher level.
     fn record_in_time(&mut self, level: usize) {
         for share in &mut self.in_time_shares[..=level] {
             smooth(share, 1.0, SMOOTHING);
@@ -137,12 +137,12 @@
     }
 
     /// Records a late attempt. It would have been late at a higher load too, so it counts for its
-    /// own and all higher levels. Level 0 is always open, so nothing is recorded for it.
+    /// own and all higher levels. At level 0 load is not the cause, so it counts for no level.
     ///
     /// The admitted share falls in proportion to the part of the lateness that this node's own load
     /// does not explain, since the endpoint is unhealthy or other nodes send to it. All nodes are
-    /// assumed to send equally, so `1 / node_count` of the load is this node's own, or none at
-    /// level 0. The load levels limit the node's own load.
+    /// assumed to send equally, so `1 / node_count` of the load is this node's own, and at level 0
+    /// none is. The load levels limit the node's own load.
     fn record_late(&mut self, level: usize) {
         let mut own_load_share = 0.0;
         if level > 0 {
