--- a/crates/balancer/src/balancer/routing.rs
+++ b/crates/balancer/src/balancer/routing.rs
@@ -4,7 +4,8 @@
 //! An endpoint is selected in these steps:
 //!
 //! 1. The rules in `eligibility` determine the eligible endpoints. No later step overrides them.
-//! 2. Outlier ejection keeps the healthy endpoints, or all of them if none is healthy.
+//! 2. Outlier ejection keeps the healthy endpoints, or all of them if none is healthy. For a few
+//!    requests, it keeps only endpoints on probation, to probe them.
 //! 3. Admission control keeps the endpoints that are likely to respond in time.
 //! 4. Endpoints with more than the average load of those that remain are left out.
 //! 5. Join-Up-To(m) selects one of the rest. If all have reached the cap m, health checks may find
@@ -41,8 +42,8 @@
     /// Do nothing: the request is closed, is queued for health checks, or has an attempt in flight
     /// that may be served.
     Wait,
-    /// Route the request again later. No endpoint is eligible: none is ready, or all ready ones are
-    /// in slow start and have no permit for it.
+    /// Route the request again later. No endpoint is eligible for its first attempt: none is ready,
+    /// or all ready ones are in slow start and have no permit for it.
     WaitForEndpoint,
     /// Send the request to this endpoint.
     Send(EndpointId),
@@ -52,8 +53,8 @@
         unknown: Vec<EndpointId>,
         fallback: Option<EndpointId>,
     },
-    /// Reject the request: no further attempt is allowed, or no endpoint is likely to respond in
-    /// time.
+    /// Reject the request: no further attempt is allowed, no endpoint is eligible for a retry, or
+    /// no endpoint is likely to respond in time.
     Reject,
 }
 
