--- a/crates/balancer/tests/decisions/hedging.rs
+++ b/crates/balancer/tests/decisions/hedging.rs
@@ -38,7 +38,7 @@
 /// An endpoint continues to work on a cancelled attempt. If only one attempt may be in flight, it
 /// is therefore cancelled only when the next one would otherwise start too late.
 #[test]
-fn single_attempt_is_cancelled_only_in_time_for_next() {
+fn single_attempt_is_cancelled_only_when_retry_must_start() {
     for class in [IDEMPOTENT, KEYED_EVERYWHERE] {
         let mut settings = response_report_settings();
         settings.limits.allow_parallel_attempts = false;
--- a/crates/node/src/discovery/client/tests.rs
+++ b/crates/node/src/discovery/client/tests.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_large_list_that_arrives_slowly_is_taken_in() {
+fn a_large_list_that_arrives_slowly_is_read_completely() {
     let list = large_list();
     let piece_count = (SLOW_LIST_DURATION.as_millis() / PIECE_INTERVAL.as_millis()) as usize;
     let mut pieces = vec![head(list.len())];
@@ -92,7 +92,7 @@
 /// A list that trickles in times out early enough for the next call to bring the list by the
 /// deadline.
 #[test]
-fn a_call_whose_list_hardly_arrives_times_out_early_enough() {
+fn a_call_with_a_trickling_list_times_out_early_enough() {
     const MAX_CALL_DURATION: Duration = Duration::from_millis(4200);
     for intervals_before_head in [0, 20, 38] {
         let mut pieces = vec![Vec::new(); intervals_before_head];
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn an_interrupted_or_short_call_does_not_hold_up_a_list() {
+fn an_interrupted_or_short_call_does_not_delay_a_list() {
     const LIST: &str = "{\"index\":8,\"snapshot\":true,\"endpoints\":[]}\n";
     for fault in [
         || InjectedFaults::errors(Errno::INTR, 2),
--- a/crates/node/src/driver/tests.rs
+++ b/crates/node/src/driver/tests.rs
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_request_without_response_at_its_deadline_leaves_nothing() {
+fn a_request_without_response_at_its_deadline_leaves_no_state() {
     in_virtual_time(async {
         // Late responses count (LateWorth is 0.5), so only the deadline ends the request.
         let mut harness = DriverHarness::start(&config("piggyback", 0.5));
@@ -221,7 +221,7 @@
 ];
 
 #[test]
-fn two_hundred_thousand_requests_of_all_endings_leave_nothing() {
+fn two_hundred_thousand_requests_of_every_ending_leave_no_state() {
     const ROUNDS: usize = 4_000;
     const ROUND: Duration = Duration::from_millis(20);
     in_virtual_time(async {
--- a/crates/node/src/socket/tests.rs
+++ b/crates/node/src/socket/tests.rs
@@ -15,7 +15,7 @@
 const DISCONNECT_DEADLINE: Duration = Duration::from_millis(100);
 
 #[test]
-fn a_disconnected_peer_is_noticed_whatever_waits_to_be_read() {
+fn a_disconnect_is_noticed_with_and_without_unread_bytes() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn an_interrupted_call_says_nothing_of_the_peer() {
+fn an_interrupted_call_signals_neither_data_nor_disconnect() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
--- a/crates/node/tests/node/discovery.rs
+++ b/crates/node/tests/node/discovery.rs
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn malformed_list_entry_or_report_is_dropped_alone() {
+fn only_malformed_list_entry_or_load_report_is_dropped() {
     let endpoint = ScriptedEndpoint::start(|_| ok_with_headers("X-Load-Report: inflight=many\r\n"));
     let (node, mut discovery) = start_node(&[]);
     discovery.send_list("{\"index\": 9, \"endpoints\": 5}");
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn list_of_1024_endpoints_is_applied_whole() {
+fn list_of_1024_endpoints_is_applied_completely() {
     const ENDPOINTS: usize = 1024;
     let endpoints = [0, 1].map(|_| ScriptedEndpoint::serving(""));
     let (node, mut discovery) = start_node(&[]);
