--- a/crates/node/src/config/error.rs
+++ b/crates/node/src/config/error.rs
@@ -39,7 +39,7 @@
     #[error("seed: expected a hexadecimal number of up to 64 bits")]
     InvalidSeed(#[from] ParseIntError),
     /// `settings` cannot be used by the balancer.
-    #[error("bad settings")]
+    #[error("invalid settings")]
     InvalidSettings(#[from] SettingsError),
     /// A name in a list of `settings` is empty or repeated, which would be ambiguous.
     #[error("{key}: a name is empty or repeated in {names:?}")]
--- a/crates/node/src/config/error/tests.rs
+++ b/crates/node/src/config/error/tests.rs
@@ -52,7 +52,8 @@
         (
             "200",
             "\"soon\"",
-            "bad settings: Classes[0].Target: invalid type: string \"soon\", expected f64 at line 1 column 42",
+            "invalid settings: Classes[0].Target: invalid type: string \"soon\", expected f64 at \
+             line 1 column 42",
         ),
         (
             "\"listen\"",
