--- a/crates/node/src/driver/tests.rs
+++ b/crates/node/src/driver/tests.rs
@@ -1,11 +1,11 @@
 //! Tests that a finished request leaves no table entry, no timer and no leased memory behind,
 //! whichever event finished it. Time is virtual: it advances only when every task waits.
 
-mod host;
+mod harness;
 mod scripted_endpoint;
 
 use crate::message::{DriverMessage, EndpointListUpdate, FinalResponse, ListedEndpoint};
-use host::{
+use harness::{
     BODY_BYTES, DEADLINE, DriverHarness, IDEMPOTENT, KEYED, LATENCY_OBJECTIVE, MessageSource,
     NOT_IDEMPOTENT, SETTLE_TIME, config, in_virtual_time,
 };
