--- a/crates/node/src/downstream/admission.rs
+++ b/crates/node/src/downstream/admission.rs
@@ -23,7 +23,7 @@
     /// The memory budget for the bodies of requests and responses.
     budget: MemoryBudget,
     phase: Rc<Cell<ShutdownPhase>>,
-    /// The value of the Retry-After header of shed requests; `None` for no such header.
+    /// The Retry-After header of the responses to shed requests; `None` for no such header.
     retry_after: Option<Duration>,
     in_flight_call_ids: InFlightCallIds,
 }
--- a/crates/node/src/downstream/connection.rs
+++ b/crates/node/src/downstream/connection.rs
@@ -11,14 +11,18 @@
 pub(super) enum ConnectionState {
     /// No request is being served. Part of the next request's head may have been read.
     Idle {
-        /// When the connection was accepted, or the response to its last request was ready.
+        /// When the connection was accepted, or the most recent response was passed to the HTTP
+        /// layer, which writes it.
         since: Instant,
     },
-    /// A request's head has been read, and its response is not yet ready.
+    /// A request's head has been read, and its response has not been passed to the HTTP layer.
     Serving,
-    /// No more requests are served, and the client is expected to end the connection.
+    /// No more requests are served, and the client is expected to end the connection. If it does
+    /// not in time, [`timeouts`](super::timeouts) or [`eviction`](super::eviction) aborts the
+    /// connection.
     Closing {
-        /// When the response to the last request was ready, or [`Connection::close`] was called.
+        /// When the final response was passed to the HTTP layer, or [`Connection::close`] was
+        /// called.
         since: Instant,
     },
 }
@@ -28,9 +32,11 @@
     socket: SocketHandle,
     accepted_at: Instant,
     /// Whether the complete head of a request has ever been read.
-    has_sent_request: Cell<bool>,
+    has_read_request_head: Cell<bool>,
     state: Cell<ConnectionState>,
+    /// Notified when the HTTP layer is to end the connection gracefully.
     shutdown: Notify,
+    /// Notified when the connection is to be dropped at once.
     abort: Notify,
 }
 
@@ -41,7 +47,7 @@
         Connection {
             socket,
             accepted_at,
-            has_sent_request: Cell::new(false),
+            has_read_request_head: Cell::new(false),
             state: Cell::new(ConnectionState::Idle { since: accepted_at }),
             shutdown: Notify::new(),
             abort: Notify::new(),
@@ -50,13 +56,16 @@
 
     /// Records that a request's head has been read. Returns when the request started.
     pub(super) fn begin_request(&self) -> Instant {
-        let started = self.request_started();
-        self.has_sent_request.set(true);
+        let started_at = self.request_started_at();
+        self.has_read_request_head.set(true);
         self.state.set(ConnectionState::Serving);
-        started.unwrap_or_else(Instant::now)
+        // The start of a pipelined request is unknown if all its bytes were read before the
+        // previous response was passed to the HTTP layer. Such a request starts now.
+        started_at.unwrap_or_else(Instant::now)
     }
 
-    /// Records that the response to the request is ready, and that the connection is kept.
+    /// Records that the response to the request is passed to the HTTP layer, and that the
+    /// connection is kept for further requests.
     pub(super) fn end_request(&self) {
         self.socket.reset_first_byte();
         self.state.set(ConnectionState::Idle {
@@ -64,19 +73,22 @@
         });
     }
 
-    /// Records that the response to the request is ready, and is the last on this connection.
+    /// Records that the response to the request is passed to the HTTP layer, and is the final one
+    /// on this connection. The HTTP layer ends the connection after writing it.
     pub(super) fn end_last_request(&self) {
         self.socket.reset_first_byte();
         self.start_closing();
     }
 
-    /// Closes an idle connection gracefully. If its client does not end it in time, it is aborted.
+    /// Closes an idle connection: marks it as closing, and shuts it down gracefully. If its client
+    /// does not end it in time, it is aborted.
     pub(super) fn close(&self) {
         self.start_closing();
         self.shut_down_gracefully();
     }
 
     /// Asks the HTTP layer to end the connection, after the request in progress if there is one.
+    /// The state does not change.
     pub(super) fn shut_down_gracefully(&self) {
         self.shutdown.notify_one();
     }
@@ -96,8 +108,12 @@
         self.abort.notified().await;
     }
 
-    /// Completes when the client disconnects while its request is being served. In the other states
-    /// the HTTP layer detects the disconnect itself, and this never completes.
+    /// Completes when the client closes its side of the connection, or the connection fails, while
+    /// a request is being served. The caller then drops the connection together with the request. A
+    /// client that closes only its sending side counts as disconnected too.
+    ///
+    /// The state is checked once, when the close is noticed. If no request is being served then,
+    /// this never completes, since the HTTP layer detects the close itself.
     pub(super) async fn client_disconnected(&self) {
         self.socket.peer_closed().await;
         if self.state() != ConnectionState::Serving {
@@ -111,8 +127,8 @@
     }
 
     /// Returns whether the complete head of a request has ever been read.
-    pub(super) fn has_sent_request(&self) -> bool {
-        self.has_sent_request.get()
+    pub(super) fn has_read_request_head(&self) -> bool {
+        self.has_read_request_head.get()
     }
 
     /// Returns the time since the connection was accepted.
@@ -120,10 +136,12 @@
         self.accepted_at.elapsed()
     }
 
-    /// Returns the start of the request that is being read, if there is one. The first request
-    /// starts when the connection is accepted, a later one with its first byte.
-    pub(super) fn request_started(&self) -> Option<Instant> {
-        if self.has_sent_request() {
+    /// Returns when the request that is being read or served started. The first request starts when
+    /// the connection is accepted, so that the read timeout also applies to a client that sends
+    /// nothing. A later request starts with the first byte that is read after the previous response
+    /// was passed to the HTTP layer. Returns `None` if no such byte has been read.
+    pub(super) fn request_started_at(&self) -> Option<Instant> {
+        if self.has_read_request_head() {
             self.socket.first_byte_at()
         } else {
             Some(self.accepted_at)
--- a/crates/node/src/downstream/connection_registry.rs
+++ b/crates/node/src/downstream/connection_registry.rs
@@ -45,9 +45,9 @@
         self.connections.borrow().len() >= self.max_connections
     }
 
-    /// Notifies the registry that a connection has become idle, so that it can be evicted if the
-    /// registry is full.
-    pub(super) fn notify_idle(&self) {
+    /// Notifies the registry that a connection has become idle or is closing. If the registry is
+    /// full, the connection may now be evicted.
+    pub(super) fn notify_evictable(&self) {
         if self.is_full() {
             self.changed.notify_one();
         }
--- a/crates/node/src/downstream/eviction.rs
+++ b/crates/node/src/downstream/eviction.rs
@@ -94,7 +94,7 @@
 /// Returns what is known of the client of an idle connection.
 fn idle_client(connection: &Connection, reason: EvictionReason) -> IdleClient {
     let is_new = connection.age() < FIRST_REQUEST_DELAY;
-    if connection.has_sent_request() {
+    if connection.has_read_request_head() {
         IdleClient::Served
     } else if is_new && reason == EvictionReason::OutOfDescriptors {
         IdleClient::New
--- a/crates/node/src/downstream/graceful_shutdown.rs
+++ b/crates/node/src/downstream/graceful_shutdown.rs
@@ -56,7 +56,7 @@
     }
 
     /// Makes the driver send the final response to every admitted request now, even if its client
-    /// would wait longer. No other open connection can have sent a complete request.
+    /// would wait longer. All requests that became complete later have been shed.
     async fn end_overdue_requests(&self) {
         // Fails only when the driver has ended.
         let _ = self.driver.send(DriverMessage::Shutdown).await;
--- a/crates/node/src/downstream/http_server.rs
+++ b/crates/node/src/downstream/http_server.rs
@@ -112,7 +112,7 @@
         } else {
             connection.end_request();
         }
-        self.registry.notify_idle();
+        self.registry.notify_evictable();
         Ok(response)
     }
 }
--- a/crates/node/src/downstream/timeouts.rs
+++ b/crates/node/src/downstream/timeouts.rs
@@ -58,6 +58,6 @@
 /// Returns whether the request that is being read has taken longer than [`READ_TIMEOUT`].
 fn has_read_timed_out(connection: &Connection, now: Instant) -> bool {
     connection
-        .request_started()
-        .is_some_and(|started| now > started + READ_TIMEOUT)
+        .request_started_at()
+        .is_some_and(|started_at| now > started_at + READ_TIMEOUT)
 }
