--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -9,8 +9,8 @@
 /// Unix time, comparable with the times of the node's events. All deadlines, windows, waits and
 /// ages are differences between times of this clock. They are monotonic, so a step of the wall
 /// clock does not change them. If an endpoint's wall clock differs from this reading by a step, its
-/// `since_ms` is off by that step. The balancer therefore accepts `since_ms` only within the bounds
-/// that the node knows without the wall clock.
+/// `since_ms` is off by that step. The balancer therefore bounds the age of an endpoint by when the
+/// endpoint was first seen in the list, a time that does not depend on the wall clock.
 #[derive(Clone, Copy)]
 pub(crate) struct Clock {
     started: Instant,
--- a/crates/node/src/discovery/backoff.rs
+++ b/crates/node/src/discovery/backoff.rs
@@ -42,8 +42,8 @@
     /// Returns the wait after a call that failed after `call_duration`.
     ///
     /// There is no wait after a call that took longer than [`MAX_WAIT_UPPER_BOUND`], whether it was
-    /// an open watch or timed out: such calls cannot become frequent, and the watch may have ended
-    /// instead of delivering a change.
+    /// an open watch or timed out: such calls cannot become frequent, and discovery may end a watch
+    /// instead of sending a change on it, so the change must be fetched at once.
     pub(super) fn next_wait(&mut self, call_duration: Duration) -> Duration {
         if call_duration > MAX_WAIT_UPPER_BOUND {
             self.reset();
--- a/crates/node/src/discovery/framing.rs
+++ b/crates/node/src/discovery/framing.rs
@@ -3,11 +3,11 @@
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// The maximum length of a list.
+/// The maximum length of a list. It limits the data that is buffered while a list is incomplete.
 const MAX_LIST_BYTES: usize = 4 << 20;
-/// The bracket depth of a line that is not valid JSON. Adding it makes the number of open brackets
-/// negative, so that the list ends with that line.
-const MALFORMED_LINE_DEPTH: i64 = i64::MIN / 2;
+/// The bracket balance assumed for a line that ends within a string, which is not valid JSON.
+/// Adding it makes the number of open brackets negative, so that the list ends with that line.
+const UNTERMINATED_STRING_BALANCE: i64 = i64::MIN / 2;
 
 /// A list is longer than [`MAX_LIST_BYTES`].
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
@@ -44,6 +44,8 @@
     }
 
     /// Returns the next complete list or heartbeat; `None` if more data has to arrive first.
+    ///
+    /// Fails only while a list is incomplete. A complete list is returned regardless of its length.
     pub(super) fn next_item(&mut self) -> Result<Option<WatchItem>, ListTooLong> {
         while let Some(line_end) = self.find_line_end() {
             if let Some(item) = self.take_line(line_end) {
@@ -73,15 +75,17 @@
     }
 
     /// Processes the current line, and returns the list or heartbeat that ends with or before it,
-    /// if any.
+    /// if any. If the item ends before the line, the line stays in the buffer, and the next call
+    /// processes it again.
     fn take_line(&mut self, line_end: usize) -> Option<WatchItem> {
         let line = &self.buffer[self.line_start..line_end];
         let is_blank = line.trim_ascii().is_empty();
-        let depth = bracket_depth(line);
-        // A list contains neither an empty line nor another list. If one is still open here, it was
-        // cut short.
-        let ends_open_list = is_blank || depth == Some(0) && is_complete_list(line);
-        if self.line_start > 0 && ends_open_list {
+        let balance = bracket_balance(line);
+        let is_list_open = self.line_start > 0;
+        // A list contains neither an empty line nor another list. If a list is open when such a
+        // line arrives, the open list was cut short.
+        let ends_open_list = is_blank || balance == Some(0) && is_complete_list(line);
+        if is_list_open && ends_open_list {
             return Some(self.split_list(self.line_start));
         }
         if is_blank {
@@ -91,17 +95,20 @@
         }
         self.line_start = line_end;
         self.line_searched = 0;
-        self.open_brackets += depth.unwrap_or(MALFORMED_LINE_DEPTH);
+        self.open_brackets += balance.unwrap_or(UNTERMINATED_STRING_BALANCE);
         (self.open_brackets <= 0).then(|| self.split_list(line_end))
     }
 
-    /// Returns whether a list is complete although no line feed has followed: an indented list may
-    /// end without one.
+    /// Returns whether the buffer ends with a complete list whose last line has no line feed yet.
+    ///
+    /// The list is returned without waiting for the line feed, which may never come. If it does, it
+    /// is reported as a heartbeat. That only restarts the time limit of the next list, as the list
+    /// has done before.
     fn is_complete_without_line_end(&self) -> bool {
         let line = &self.buffer[self.line_start..];
         let ends_with_bracket = line.trim_ascii_end().ends_with(b"}");
         ends_with_bracket
-            && bracket_depth(line).is_some_and(|depth| self.open_brackets + depth == 0)
+            && bracket_balance(line).is_some_and(|balance| self.open_brackets + balance == 0)
     }
 
     /// Removes the buffer up to `end`, and returns it as a list.
@@ -113,21 +120,21 @@
     }
 }
 
-/// Returns whether a line is a complete list, rather than a part of one. The line must close all
-/// brackets that it opens.
+/// Returns whether a line is a complete list, rather than a part of one such as an entry. Expects a
+/// line that closes all brackets that it opens.
 fn is_complete_list(line: &[u8]) -> bool {
-    /// The key that every list contains.
-    const ENTRIES_KEY: &[u8] = b"\"endpoints\"";
+    /// The key that every list contains, but no entry of a list.
+    const ENDPOINTS_KEY: &[u8] = b"\"endpoints\"";
     line.starts_with(b"{")
         && line
-            .windows(ENTRIES_KEY.len())
-            .any(|part| part == ENTRIES_KEY)
+            .windows(ENDPOINTS_KEY.len())
+            .any(|part| part == ENDPOINTS_KEY)
 }
 
 /// Returns how many more brackets a line opens than it closes. Returns `None` if the line ends
 /// within a string, which is not valid JSON.
-fn bracket_depth(line: &[u8]) -> Option<i64> {
-    let mut depth = 0;
+fn bracket_balance(line: &[u8]) -> Option<i64> {
+    let mut balance = 0;
     let mut in_string = false;
     let mut escaped = false;
     for byte in line {
@@ -135,12 +142,12 @@
             _ if escaped => escaped = false,
             b'\\' => escaped = in_string,
             b'"' => in_string = !in_string,
-            b'{' | b'[' if !in_string => depth += 1,
-            b'}' | b']' if !in_string => depth -= 1,
+            b'{' | b'[' if !in_string => balance += 1,
+            b'}' | b']' if !in_string => balance -= 1,
             _ => {}
         }
     }
-    (!in_string).then_some(depth)
+    (!in_string).then_some(balance)
 }
 
 #[cfg(test)]
