--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -161,7 +161,7 @@
             endpoint: attempt.endpoint,
             outcome: completed.outcome,
             elapsed: self.clock.now().saturating_sub(attempt.started_at),
-            request_finished: attempt.needed_no_response || is_final_response,
+            request_finished: !attempt.awaited_response || is_final_response,
             report: completed.load_report,
         }));
     }
--- a/crates/node/src/driver/actions.rs
+++ b/crates/node/src/driver/actions.rs
@@ -1,7 +1,7 @@
 //! Executes the balancer's actions.
 
 use super::Driver;
-use super::request_table::NewAttempt;
+use super::request_table::AttemptStart;
 use super::timer_queue::DriverTimer;
 use crate::logging::log;
 use crate::message::{AttemptId, DiscoveryCommand, FinalResponse, StopReason};
@@ -47,7 +47,7 @@
     ) -> Option<Event> {
         let now = self.clock.now();
         match self.requests.start_attempt(id, endpoint, now)? {
-            NewAttempt::Started {
+            AttemptStart::Started {
                 number,
                 upstream_request,
                 stop_signal,
@@ -64,16 +64,16 @@
                 self.run_attempt(attempt, stop_signal);
                 None
             }
-            NewAttempt::NotStarted {
+            AttemptStart::NotPermitted {
                 number,
-                needs_no_response,
+                awaits_response,
             } => Some(Event::AttemptEnded(AttemptEnd {
                 id,
                 attempt: number,
                 endpoint,
                 outcome: Outcome::NotSent,
                 elapsed: Duration::ZERO,
-                request_finished: needs_no_response,
+                request_finished: !awaits_response,
                 report: None,
             })),
         }
--- a/crates/node/src/driver/request_table.rs
+++ b/crates/node/src/driver/request_table.rs
@@ -1,13 +1,13 @@
 //! The table of requests in flight, and the timers that belong to them.
 //!
-//! A request is finished when it has its final response and all its attempts have ended. The table
-//! then removes it together with its timers, whichever event came last. Callers never remove a
-//! request.
+//! A request awaits its final response until that is sent or the client disconnects. It is finished
+//! once it no longer awaits the response and all its attempts have ended. The table then removes it
+//! together with its timers, whichever event came last. Callers never remove a request.
 
 mod attempt;
 mod in_flight_request;
 
-pub(super) use in_flight_request::NewAttempt;
+pub(super) use in_flight_request::AttemptStart;
 
 use super::timer_queue::{DriverTimer, TimerQueue};
 use crate::message::{AttemptId, FinalResponse, StopReason, UpstreamRequest};
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Adds a request, which awaits its final response.
+    /// Adds a request, which awaits its final response. No other request may have the same id.
     pub(super) fn insert(
         &mut self,
         id: RequestId,
@@ -75,6 +75,8 @@
         self.take_response_sender(id).is_some()
     }
 
+    /// Takes the sender of a request's final response, and removes the request if it is finished
+    /// now. Returns `None` if the request no longer awaits the response.
     fn take_response_sender(&mut self, id: RequestId) -> Option<oneshot::Sender<FinalResponse>> {
         let request = self.requests.get_mut(&id)?;
         let response_sender = request.take_response_sender()?;
@@ -82,19 +84,22 @@
         Some(response_sender)
     }
 
-    /// Starts a further attempt of a request, if it is permitted. Returns `None` if the request is
-    /// not in flight.
+    /// Starts the first or a further attempt of a request. It is permitted while the request awaits
+    /// its final response, its deadline has not passed and it has had fewer than the maximum number
+    /// of attempts; otherwise this returns [`AttemptStart::NotPermitted`]. Returns `None` if the
+    /// request is not in flight.
     pub(super) fn start_attempt(
         &mut self,
         id: RequestId,
         endpoint: EndpointId,
         now: Duration,
-    ) -> Option<NewAttempt> {
+    ) -> Option<AttemptStart> {
         let request = self.requests.get_mut(&id)?;
         Some(request.start_attempt(endpoint, now, self.max_attempts))
     }
 
-    /// Tells an attempt in flight to stop. Its outcome is still reported.
+    /// Tells the task of an attempt in flight to stop. The task still reports the attempt's outcome
+    /// to the driver, which then calls [`Self::end_attempt`].
     pub(super) fn stop_attempt(&mut self, id: AttemptId, reason: StopReason) {
         if let Some(request) = self.requests.get_mut(&id.request) {
             request.stop_attempt(id.number, reason);
@@ -113,7 +118,7 @@
     pub(super) fn awaiting_response(&self) -> Vec<RequestId> {
         self.requests
             .iter()
-            .filter(|(_, request)| !request.needs_no_response())
+            .filter(|(_, request)| request.awaits_response())
             .map(|(id, _)| *id)
             .collect()
     }
@@ -131,8 +136,8 @@
         }
     }
 
-    /// Sets a timer that fires at `due`, a time of the node's clock. A timer that belongs to a
-    /// request in flight is removed with it.
+    /// Sets a timer that fires at `due`, a time of the node's clock. If it belongs to a request in
+    /// flight, it is removed with the request. Otherwise it stays until it fires.
     pub(super) fn set_timer(&mut self, due: Duration, timer: DriverTimer) {
         let key = self.timers.set(due, timer);
         if let Some(request) = self.request_of(timer) {
--- a/crates/node/src/driver/request_table/attempt.rs
+++ b/crates/node/src/driver/request_table/attempt.rs
@@ -28,9 +28,8 @@
     pub endpoint: EndpointId,
     /// When it started, as a time of the node's clock.
     pub started_at: Duration,
-    /// Whether the request had its final response before this attempt ended, or needed none as its
-    /// client had disconnected.
-    pub needed_no_response: bool,
+    /// Whether the request awaited its final response when this attempt ended.
+    pub awaited_response: bool,
 }
 
 impl TrackedAttempt {
@@ -74,9 +73,9 @@
         }
     }
 
-    /// Ends the attempt. Returns `None` if it had ended before. `needs_no_response` says whether
-    /// its request has its final response, or needs none as its client has disconnected.
-    pub(super) fn end(&mut self, needs_no_response: bool) -> Option<EndedAttempt> {
+    /// Ends the attempt. Returns `None` if it had ended before. `awaits_response` says whether its
+    /// request awaits its final response.
+    pub(super) fn end(&mut self, awaits_response: bool) -> Option<EndedAttempt> {
         if self.has_ended() {
             return None;
         }
@@ -84,7 +83,7 @@
         Some(EndedAttempt {
             endpoint: self.endpoint,
             started_at: self.started_at,
-            needed_no_response: needs_no_response,
+            awaited_response: awaits_response,
         })
     }
 }
--- a/crates/node/src/driver/request_table/attempt/tests.rs
+++ b/crates/node/src/driver/request_table/attempt/tests.rs
@@ -13,16 +13,16 @@
     attempt.stop(StopReason::Cancelled);
     assert!(matches!(stop_signal.try_recv(), Ok(StopReason::TimedOut)));
     assert!(!attempt.has_ended());
-    let ended = attempt.end(true).expect("its first end");
+    let ended = attempt.end(false).expect("its first end");
     assert_eq!((ended.endpoint, ended.started_at), (ENDPOINT, STARTED_AT));
-    assert!(ended.needed_no_response);
+    assert!(!ended.awaited_response);
 }
 
 #[test]
 fn an_attempt_ends_once() {
     let (mut attempt, mut stop_signal) = TrackedAttempt::running(ENDPOINT, STARTED_AT);
-    assert!(attempt.end(false).is_some());
-    assert!(attempt.end(false).is_none());
+    assert!(attempt.end(true).is_some());
+    assert!(attempt.end(true).is_none());
     attempt.stop(StopReason::Cancelled);
     assert!(attempt.has_ended());
     assert!(stop_signal.try_recv().is_err(), "it is not told to stop");
@@ -32,5 +32,5 @@
 fn an_attempt_that_is_not_started_has_ended() {
     let mut attempt = TrackedAttempt::not_started(ENDPOINT, STARTED_AT);
     assert!(attempt.has_ended());
-    assert!(attempt.end(true).is_none());
+    assert!(attempt.end(false).is_none());
 }
--- a/crates/node/src/driver/request_table/in_flight_request.rs
+++ b/crates/node/src/driver/request_table/in_flight_request.rs
@@ -20,8 +20,8 @@
     timers: Vec<TimerKey>,
 }
 
-/// The result of starting a further attempt of a request.
-pub(crate) enum NewAttempt {
+/// The result of starting an attempt of a request.
+pub(crate) enum AttemptStart {
     /// The attempt is permitted and in flight; the caller has to send it.
     Started {
         /// The number of the attempt.
@@ -32,12 +32,11 @@
         stop_signal: oneshot::Receiver<StopReason>,
     },
     /// The attempt is not permitted. It counts as one that ended without being sent.
-    NotStarted {
+    NotPermitted {
         /// The number of the attempt.
         number: u32,
-        /// Whether the request has its final response, or needs none as its client has
-        /// disconnected.
-        needs_no_response: bool,
+        /// Whether the request awaits its final response.
+        awaits_response: bool,
     },
 }
 
@@ -55,15 +54,16 @@
         }
     }
 
-    /// Returns whether the request has its final response, or needs none as its client has
-    /// disconnected.
-    pub(super) fn needs_no_response(&self) -> bool {
-        self.response_sender.is_none()
+    /// Returns whether the request awaits its final response: it has not been sent, and the client
+    /// has not disconnected.
+    pub(super) fn awaits_response(&self) -> bool {
+        self.response_sender.is_some()
     }
 
-    /// Returns whether the request needs no response and all its attempts have ended.
+    /// Returns whether the request no longer awaits its final response and all its attempts have
+    /// ended.
     pub(super) fn is_finished(&self) -> bool {
-        self.needs_no_response() && self.attempts.iter().all(TrackedAttempt::has_ended)
+        !self.awaits_response() && self.attempts.iter().all(TrackedAttempt::has_ended)
     }
 
     /// Takes the sender of the final response, and discards the request's body, so that no attempt
@@ -74,28 +74,28 @@
         Some(response_sender)
     }
 
-    /// Starts a further attempt, unless the request has its final response, its deadline has passed
-    /// or it has had `max_attempts`.
+    /// Starts an attempt, unless the request no longer awaits its final response, its deadline has
+    /// passed or it has had `max_attempts`.
     pub(super) fn start_attempt(
         &mut self,
         endpoint: EndpointId,
         now: Duration,
         max_attempts: usize,
-    ) -> NewAttempt {
+    ) -> AttemptStart {
         let number = self.attempts.len() as u32;
-        let needs_no_response = self.needs_no_response();
+        let awaits_response = self.awaits_response();
         let is_overdue = now >= self.upstream_request.deadline;
-        if needs_no_response || is_overdue || self.attempts.len() >= max_attempts {
+        if !awaits_response || is_overdue || self.attempts.len() >= max_attempts {
             let attempt = TrackedAttempt::not_started(endpoint, now);
             self.attempts.push(attempt);
-            return NewAttempt::NotStarted {
+            return AttemptStart::NotPermitted {
                 number,
-                needs_no_response,
+                awaits_response,
             };
         }
         let (attempt, stop_signal) = TrackedAttempt::running(endpoint, now);
         self.attempts.push(attempt);
-        NewAttempt::Started {
+        AttemptStart::Started {
             number,
             upstream_request: self.upstream_request.clone(),
             stop_signal,
@@ -111,9 +111,9 @@
 
     /// Ends the attempt of this number. Returns `None` if there is none or it had ended before.
     pub(super) fn end_attempt(&mut self, number: u32) -> Option<EndedAttempt> {
-        let needs_no_response = self.needs_no_response();
+        let awaits_response = self.awaits_response();
         let attempt = self.attempts.get_mut(number as usize)?;
-        attempt.end(needs_no_response)
+        attempt.end(awaits_response)
     }
 
     /// Adds a pending timer.
