--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -87,8 +87,9 @@
     /// Creates a discovery that has made no call yet, and sends updates of the list to `messages`.
     pub(crate) fn new(options: DiscoveryOptions, messages: mpsc::Sender<DriverMessage>) -> Self {
         let max_wait = max_wait(options.drain_grace);
+        let connect_timeout = 2 * max_wait;
         Discovery {
-            client: DiscoveryClient::new(options.address, 2 * max_wait),
+            client: DiscoveryClient::new(options.address, connect_timeout),
             // The seed is inverted, so that the jitter does not repeat the balancer's random
             // numbers.
             backoff: ReconnectBackoff::new(max_wait, !options.seed),
@@ -155,6 +156,8 @@
         // The version advances only after the list was published: if the watch is dropped before,
         // the next watch has to get the same changes again.
         self.version.advance(kind, version);
+        // A cached list suffices only if the balancer polls. Otherwise the node waits for a list
+        // from discovery, at most as long as `Readiness::set_after_max_wait` does.
         if kind != ListKind::Cached || self.poll {
             self.readiness.set();
         }
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -89,7 +89,7 @@
         ready.map_err(|_| BrokenBeforeWrite)?;
         // Waiting for a connection took time: the attempt may no longer be permitted.
         let Some(request) = self.permitted_request(attempt, &connection) else {
-            self.pool.release(connection);
+            self.pool.release_without_cooldown(connection);
             return Ok(ExchangeResult::without_response(Outcome::NotSent));
         };
         written.set(true);
@@ -107,7 +107,7 @@
     ) -> ExchangeResult {
         let received = self.read_response(connection, response).await;
         if let Some(connection) = received.connection {
-            self.pool.release_after_response(connection);
+            self.pool.release_with_cooldown(connection);
         }
         received.result
     }
--- a/crates/node/src/upstream/health_check.rs
+++ b/crates/node/src/upstream/health_check.rs
@@ -56,9 +56,9 @@
         };
         let received = self.read_response(connection, response).await;
         if let Some(connection) = received.connection {
-            // No cool-down: if the check finds the endpoint idle, a request mostly follows at once,
-            // on this connection.
-            self.pool.release(connection);
+            // If the check finds the endpoint idle, a request usually follows at once, on this
+            // connection.
+            self.pool.release_without_cooldown(connection);
         }
         received.result
     }
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -25,15 +25,16 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// How long a connection stays unused after a response.
+/// The cool-down: how long a connection carries no request after a response.
 ///
-/// A duplicate of a response may arrive some milliseconds after the first. If the connection carried
-/// another request by then, the duplicate would be read as the response to that request. Duplicates
-/// have been seen up to 4 ms late. A longer cool-down would cost handshakes.
+/// A duplicate of a response may arrive on the connection, some milliseconds after the first. If
+/// the connection carried another request by then, the duplicate would be read as the response to
+/// that request. If it arrives during the cool-down, the connection is closed instead of being
+/// reused. Duplicates have been seen up to 4 ms late. A longer cool-down would cost handshakes.
 pub(crate) const RESPONSE_COOLDOWN: Duration = Duration::from_millis(6);
 /// The shortest interval between two sweeps that close expired idle connections.
 const MIN_SWEEP_INTERVAL: Duration = Duration::from_millis(5);
-/// The number of sweeps within one idle timeout.
+/// The number of sweeps within one idle timeout of the pool.
 const SWEEPS_PER_IDLE_TIMEOUT: u32 = 8;
 
 /// The options of the pool.
@@ -43,9 +44,9 @@
     pub max_connections: usize,
     /// How long a dial may take.
     pub connect_timeout: Duration,
-    /// The idle timeout after which endpoints close connections.
+    /// The idle timeout after which endpoints close connections. The pool's own is shorter.
     pub endpoint_idle_timeout: Duration,
-    /// How long a connection stays unused after a response; [`RESPONSE_COOLDOWN`] except in tests.
+    /// The cool-down after a response; [`RESPONSE_COOLDOWN`] except in tests.
     pub response_cooldown: Duration,
 }
 
@@ -106,12 +107,13 @@
         self.endpoints.borrow_mut().apply(kind, listed);
     }
 
-    /// Returns a connection to the pool without a cool-down: one that has carried nothing since it
-    /// was checked out or dialled, or only an exchange that needs no cool-down.
+    /// Returns a connection to the pool, and makes it available at once. It must have carried
+    /// nothing since it was dialled or checked out, or only a health check, or it must have cooled
+    /// down.
     ///
-    /// The attempt that has waited longest gets it. If none waits, it becomes idle. An unusable
-    /// connection, or one of an earlier epoch, is closed.
-    pub(crate) fn release(&self, connection: Connection) {
+    /// The attempt that has waited longest gets it. If none waits, it becomes idle. A connection
+    /// that is unusable or belongs to an earlier [`Epoch`](epoch::Epoch) is closed.
+    pub(crate) fn release_without_cooldown(&self, connection: Connection) {
         let mut endpoints = self.endpoints.borrow_mut();
         let Some(slot) = endpoints.in_epoch_mut(connection.endpoint, connection.epoch) else {
             return;
@@ -119,13 +121,18 @@
         if !connection.is_usable() {
             return;
         }
-        if let Some(connection) = slot.waiters.deliver(connection) {
-            slot.idle.push(connection, self.clock.now());
+        if let Some(undelivered) = slot.waiters.deliver(connection) {
+            slot.idle.push(undelivered, self.clock.now());
         }
     }
 
-    /// Returns a connection to the pool after a response. It becomes available after its cool-down.
-    pub(crate) fn release_after_response(self: &Rc<Self>, mut connection: Connection) {
+    /// Returns a connection to the pool after a response. It becomes idle, but is not taken before
+    /// its cool-down has passed.
+    ///
+    /// If attempts wait already, the longest waiting one is offered a connection after the
+    /// cool-down. An attempt that begins to wait later does not depend on that, since it has a dial
+    /// in flight.
+    pub(crate) fn release_with_cooldown(self: &Rc<Self>, mut connection: Connection) {
         let now = self.clock.now();
         let endpoint = connection.endpoint;
         connection.cooling_until = now + self.options.response_cooldown;
@@ -144,7 +151,7 @@
     async fn offer_after_cooldown(self: Rc<Self>, endpoint: EndpointId) {
         sleep(self.options.response_cooldown).await;
         if let Some(connection) = self.take_for_waiter(endpoint) {
-            self.release(connection);
+            self.release_without_cooldown(connection);
         }
     }
 
@@ -158,10 +165,11 @@
     }
 
     /// Returns the address to which a connection leads, if a request may still be sent on it: the
-    /// endpoint must be ready, and in the epoch in which the connection was dialled.
+    /// endpoint must be ready, and still in the [`Epoch`](epoch::Epoch) in which the connection was
+    /// dialled.
     ///
-    /// A draining endpoint gets no request, not even within the drain grace: that is for requests
-    /// that were written before the drain began.
+    /// A draining endpoint gets no request, not even within the drain grace (the setting
+    /// `DrainGrace`): that is for requests that were written before the drain began.
     pub(crate) fn destination(&self, connection: &Connection) -> Option<SocketAddr> {
         let endpoints = self.endpoints.borrow();
         let slot = endpoints.in_epoch(connection.endpoint, connection.epoch)?;
--- a/crates/node/src/upstream/pool/checkout.rs
+++ b/crates/node/src/upstream/pool/checkout.rs
@@ -33,7 +33,7 @@
     fn drop(&mut self) {
         self.delivery.close();
         if let Ok(Ok(connection)) = self.delivery.try_recv() {
-            self.pool.release(connection);
+            self.pool.release_without_cooldown(connection);
         }
     }
 }
--- a/crates/node/src/upstream/pool/dial.rs
+++ b/crates/node/src/upstream/pool/dial.rs
@@ -107,13 +107,13 @@
     fn finish_dial(&self, endpoint: EndpointId, epoch: Epoch, result: CheckoutResult) {
         match self.endpoints.borrow_mut().in_epoch_mut(endpoint, epoch) {
             Some(slot) => slot.dials_in_flight -= 1,
-            // The endpoint has moved, restarted, drained or been removed since, which has failed
-            // its waiters.
+            // Since the dial started, the endpoint has moved, restarted, drained or been removed.
+            // Its waiters failed at that time.
             None => return,
         }
         let failure = match result {
             Ok(connection) => {
-                self.release(connection);
+                self.release_without_cooldown(connection);
                 // Waiters without a dial remain only if this connection broke at once.
                 CheckoutError::ConnectionClosed
             }
--- a/crates/node/src/upstream/pool/epoch.rs
+++ b/crates/node/src/upstream/pool/epoch.rs
@@ -1,5 +1,5 @@
-//! Epochs of endpoints, which distinguish the connections to one run of an endpoint from those to
-//! the next run.
+//! Epochs of endpoints, which show whether an endpoint has moved, restarted or drained since a
+//! connection to it was dialled.
 
 /// A period in which an endpoint runs without a restart, at one address, and accepts new requests.
 ///
--- a/crates/node/src/upstream/pool/tests.rs
+++ b/crates/node/src/upstream/pool/tests.rs
@@ -27,7 +27,7 @@
         tokio::select! {
             biased;
             _ = &mut second => panic!("the dial succeeded before its task ran"),
-            () = std::future::ready(()) => pool.release(first),
+            () = std::future::ready(()) => pool.release_without_cooldown(first),
         }
         let second = second.await.expect("a connection");
         assert_eq!(second.task.id(), released_task);
@@ -56,7 +56,7 @@
         let first_task = first.task.id();
         // Lets hyper poll the stream once before any byte arrives.
         tokio::task::yield_now().await;
-        pool.release(first);
+        pool.release_without_cooldown(first);
         assert_eq!(idle_count(&pool), 1);
         endpoint
             .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -74,7 +74,7 @@
         with_cooldown(cooldown, async |pool, _listener, _| {
             let first = pool.checkout(ENDPOINT).await.expect("a connection");
             let first_task = first.task.id();
-            pool.release_after_response(first);
+            pool.release_with_cooldown(first);
             let next = pool.checkout(ENDPOINT).await.expect("a connection");
             assert_eq!(
                 next.task.id() == first_task,
@@ -95,7 +95,7 @@
         tokio::select! {
             biased;
             _ = &mut second => panic!("a dial succeeded despite the full backlog"),
-            () = std::future::ready(()) => pool.release_after_response(first),
+            () = std::future::ready(()) => pool.release_with_cooldown(first),
         }
         assert_eq!(
             second.await.ok().map(|connection| connection.task.id()),
@@ -145,7 +145,7 @@
         tokio::select! {
             biased;
             _ = &mut second => panic!("the dial succeeded before its task ran"),
-            () = std::future::ready(()) => pool.release(first),
+            () = std::future::ready(()) => pool.release_without_cooldown(first),
         }
         assert_eq!(idle_count(&pool), 0);
         drop(second);
@@ -203,7 +203,7 @@
         );
         let cooling = in_use.pop().expect("a connection");
         let closed = cooling.task.id();
-        pool.release_after_response(cooling);
+        pool.release_with_cooldown(cooling);
         let next = pool.checkout(ENDPOINT).await.expect("a connection");
         assert_ne!(next.task.id(), closed);
         assert_eq!(pool.limit.open_count(), MAX_CONNECTIONS);
@@ -215,10 +215,10 @@
     with_pool(async |pool, _listener, _| {
         let idle_connection = pool.checkout(ENDPOINT).await.expect("a connection");
         let in_use = pool.checkout(ENDPOINT).await.expect("a connection");
-        pool.release(idle_connection);
+        pool.release_without_cooldown(idle_connection);
         pool.update(ListKind::Snapshot, &[]);
         assert_eq!(pool.destination(&in_use), None);
-        pool.release(in_use);
+        pool.release_without_cooldown(in_use);
         assert_eq!(
             pool.checkout(ENDPOINT).await.err(),
             Some(CheckoutError::EndpointUnavailable)
--- a/crates/node/src/upstream/pool/waiters.rs
+++ b/crates/node/src/upstream/pool/waiters.rs
@@ -22,7 +22,8 @@
         self.0.retain(|waiter| !waiter.is_closed());
     }
 
-    /// Gives a connection to the longest waiting; returns it if none waits.
+    /// Gives a connection to the longest waiting attempt. Returns the connection if no attempt
+    /// waits for it.
     pub(super) fn deliver(&mut self, mut connection: Connection) -> Option<Connection> {
         while let Some(waiter) = self.0.pop_front() {
             match waiter.send(Ok(connection)) {
@@ -33,7 +34,7 @@
         Some(connection)
     }
 
-    /// Fails the longest waiting until no more than `max_remaining` are left.
+    /// Fails the longest waiting attempts until no more than `max_remaining` are left.
     pub(super) fn fail_excess(&mut self, max_remaining: usize, error: CheckoutError) {
         while self.0.len() > max_remaining {
             let Some(waiter) = self.0.pop_front() else {
--- a/crates/node/src/upstream/response.rs
+++ b/crates/node/src/upstream/response.rs
@@ -30,7 +30,7 @@
 }
 
 impl ExchangeResult {
-    /// Returns the result of an exchange that ended without a response.
+    /// Returns the result of an exchange that ended without a complete response.
     pub(super) fn without_response(outcome: Outcome) -> Self {
         ExchangeResult {
             outcome,
