--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -40,7 +40,8 @@
     /// Whether the balancer commands when to call discovery. Otherwise a watch is always open, on
     /// which discovery pushes changes.
     pub poll: bool,
-    /// How long an endpoint may still be sent requests after its drain began.
+    /// How long requests may still reach an endpoint after its drain began. It bounds the waits
+    /// between calls.
     pub drain_grace: Duration,
     /// The names of zones, in the order of their numbers.
     pub zone_names: Vec<String>,
--- a/crates/node/src/discovery/backoff.rs
+++ b/crates/node/src/discovery/backoff.rs
@@ -12,9 +12,9 @@
 
 /// Returns the maximum wait for a drain grace.
 ///
-/// As soon as discovery is reachable again, the node is expected to know of the drains in its list.
-/// If the node made no call for longer than the drain grace, or spent that time on a connection
-/// that is never established, it would learn of a drain too late.
+/// As soon as discovery is reachable again, the node is expected to know of the drains that
+/// discovery lists. If the node made no call for longer than the drain grace, or spent that time on
+/// a connection that is never established, it would learn of a drain too late.
 pub(super) fn max_wait(drain_grace: Duration) -> Duration {
     (drain_grace / 4).clamp(MAX_WAIT_LOWER_BOUND, MAX_WAIT_UPPER_BOUND)
 }
--- a/crates/node/src/downstream/connection.rs
+++ b/crates/node/src/downstream/connection.rs
@@ -21,8 +21,8 @@
     /// not in time, [`timeouts`](super::timeouts) or [`eviction`](super::eviction) aborts the
     /// connection.
     Closing {
-        /// When the final response was passed to the HTTP layer, or [`Connection::close`] was
-        /// called.
+        /// When the last response on the connection was passed to the HTTP layer, or
+        /// [`Connection::close`] was called.
         since: Instant,
     },
 }
@@ -73,8 +73,8 @@
         });
     }
 
-    /// Records that the response to the request is passed to the HTTP layer, and is the final one
-    /// on this connection. The HTTP layer ends the connection after writing it.
+    /// Records that the response to the request is passed to the HTTP layer, and is the last on
+    /// this connection. The HTTP layer ends the connection after writing it.
     pub(super) fn end_last_request(&self) {
         self.socket.reset_first_byte();
         self.start_closing();
