--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -40,7 +40,8 @@
     /// Whether the balancer commands when to call discovery. Otherwise a watch is always open, on
     /// which discovery pushes changes.
     pub poll: bool,
-    /// How long an endpoint may still be sent requests after its drain began.
+    /// How long requests may still reach an endpoint after its drain began. It bounds the waits
+    /// between calls.
     pub drain_grace: Duration,
     /// The names of zones, in the order of their numbers.
     pub zone_names: Vec<String>,
@@ -87,8 +88,9 @@
     /// Creates a discovery that has made no call yet, and sends updates of the list to `messages`.
     pub(crate) fn new(options: DiscoveryOptions, messages: mpsc::Sender<DriverMessage>) -> Self {
         let max_wait = max_wait(options.drain_grace);
+        let connect_timeout = 2 * max_wait;
         Discovery {
-            client: DiscoveryClient::new(options.address, 2 * max_wait),
+            client: DiscoveryClient::new(options.address, connect_timeout),
             // The seed is inverted, so that the jitter does not repeat the balancer's random
             // numbers.
             backoff: ReconnectBackoff::new(max_wait, !options.seed),
@@ -155,6 +157,8 @@
         // The version advances only after the list was published: if the watch is dropped before,
         // the next watch has to get the same changes again.
         self.version.advance(kind, version);
+        // A cached list suffices only if the balancer polls. Otherwise the node waits for a list
+        // from discovery, at most as long as `Readiness::set_after_max_wait` does.
         if kind != ListKind::Cached || self.poll {
             self.readiness.set();
         }
