--- a/crates/balancer/src/health/outlier_ejection.rs
+++ b/crates/balancer/src/health/outlier_ejection.rs
@@ -13,11 +13,11 @@
 const MIN_FAILURE_RATE_RATIO: f64 = 1.5;
 /// The ejection time doubles with each ejection in a row, up to this many times.
 const MAX_DOUBLINGS: u32 = 4;
-/// The share of requests that may probe an endpoint on probation. If several endpoints were ejected
-/// and every request could probe, a quiet node would use most of its requests as probes.
+/// The share of requests that may probe an endpoint on probation.
 const PROBE_SHARE: f64 = SMOOTHING;
-/// The factor by which that share is smaller for requests that are not idempotent. They cannot be
-/// retried if the failed probe may have run them.
+/// The factor by which that share is smaller for requests that are not idempotent, which cannot be
+/// retried if a failed probe may have run them. Otherwise probes would take most of the requests of
+/// a quiet node.
 const NOT_IDEMPOTENT_PROBE_DIVISOR: f64 = 4.0;
 
 /// What follows from a health signal for the endpoint that it concerns.
