--- a/crates/balancer/src/endpoint_polling.rs
+++ b/crates/balancer/src/endpoint_polling.rs
@@ -7,15 +7,14 @@
 use std::time::Duration;
 
 /// The first wait after a failed call, and the least time between a call that opens a watch and the
-/// next call if that watch breaks. A node is expected to know of a change 6 s after the watch that
+/// next call if that watch breaks. A node counts as notified of a change 6 s after the watch that
 /// missed the change stopped sending, and most of these 6 s pass before the node notices that.
 const FIRST_BACKOFF: Duration = Duration::from_millis(500);
-/// The longest wait after a failed call. A node is expected to know of a change 6 s after
-/// discovery is reachable again, whatever the poll interval is, and an unanswered call takes most
-/// of these 6 s.
+/// The longest wait after a failed call. A node counts as notified of a change 6 s after discovery
+/// is reachable again, at any poll interval, and an unanswered call takes most of these 6 s.
 const MAX_BACKOFF: Duration = Duration::from_millis(1250);
-/// The time without an answer after which the next call is due: the 6 s after which a node is
-/// expected to know of a change.
+/// The time without an answer after which the next call is due: the 6 s after which a node counts
+/// as notified of a change.
 const CALL_TIMEOUT: Duration = Duration::from_secs(6);
 /// The fraction of the poll interval over which the first calls are spread, since all nodes may
 /// start together.
@@ -75,7 +74,7 @@
     /// If the subscription ended, the wait counts from the call that opened it, so the next call is
     /// usually due at once. A watch may end instead of delivering a change, and discovery handles
     /// the calls of all nodes one after the other, so a wait would use up the 6 s after which the
-    /// node is expected to know of the change.
+    /// node counts as notified of the change.
     pub(crate) fn record_failure(&mut self, now: Duration, random: &mut Random) {
         let was_subscribed = self.next_call.is_none();
         let wait_from = if was_subscribed { self.last_call } else { now };
--- a/crates/balancer/tests/decisions/endpoint_list.rs
+++ b/crates/balancer/tests/decisions/endpoint_list.rs
@@ -51,7 +51,7 @@
     );
 }
 
-/// A node counts as informed of changes soon after its watch has ended, and discovery handles the
+/// A node counts as notified of changes soon after its watch has ended, and discovery handles the
 /// calls of all nodes one after the other. A node therefore must reopen a broken watch at once, but
 /// must pause if the watch breaks again right after it was opened.
 #[test]
