--- a/crates/balancer/tests/decisions/late_attempts.rs
+++ b/crates/balancer/tests/decisions/late_attempts.rs
@@ -93,7 +93,7 @@
 /// Hundreds of nodes with one or two requests each at an endpoint overload it, so each must shed. A
 /// single node is limited by its load levels already, and sheds few requests in addition.
 #[test]
-fn late_attempts_at_endpoint_shared_with_other_nodes_cause_shedding() {
+fn late_attempts_at_endpoint_shared_by_nodes_cause_shedding() {
     let settings = sequential_attempt_settings();
     let shed = |nodes: u32| {
         let mut node = NodeSimulation::with_endpoints(
--- a/crates/node/src/upstream/pool/tests.rs
+++ b/crates/node/src/upstream/pool/tests.rs
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn at_the_connection_limit_only_an_idle_connection_is_closed_for_a_dial() {
+fn at_the_connection_limit_only_an_idle_connection_is_closed() {
     with_pool(async |pool, _listener, _| {
         let mut in_use = Vec::new();
         for _ in 0..MAX_CONNECTIONS {
