--- a/crates/balancer-simulation/src/fleet/endpoint.rs
+++ b/crates/balancer-simulation/src/fleet/endpoint.rs
@@ -1,4 +1,5 @@
-//! A simulated endpoint: a queue of requests that are served at the endpoint's current capacity.
+//! A simulated endpoint: a queue of requests, each of which is served at the capacity that the
+//! endpoint had when the request arrived.
 
 use ottertiller_balancer::{EndpointEntry, LoadReport, Rules};
 use std::collections::VecDeque;
@@ -14,7 +15,8 @@
     /// during slow start only.
     recent_sends: VecDeque<Duration>,
     /// The highest number of requests by which its limit was exceeded in an overload window during
-    /// slow start.
+    /// slow start; at most 0 if the limit was kept, and `f64::MIN` if no request was sent to it
+    /// during slow start.
     pub(super) max_limit_excess: f64,
     /// The number of requests that it has served.
     pub served: usize,
@@ -32,7 +34,9 @@
     }
 
     /// Queues a request, and returns the time at which it will be served. `work` is a multiple of
-    /// the mean work; `capacity` is the endpoint's full capacity in requests per second.
+    /// the mean work; `capacity` is the endpoint's full capacity in requests per second. The
+    /// request is served at the capacity that the endpoint has at `now`, even if its turn comes
+    /// later.
     pub(super) fn accept(
         &mut self,
         now: Duration,
@@ -82,7 +86,9 @@
         self.max_limit_excess = self.max_limit_excess.max(sent - limit);
     }
 
-    /// Returns a load report with the number of its requests in flight.
+    /// Returns a load report with an estimate of its requests in flight: the time to serve its
+    /// queue times its full capacity. In slow start, the estimate is too high, since requests are
+    /// served at less than the full capacity.
     pub(super) fn load_report(&self, now: Duration, capacity: f64) -> LoadReport {
         let busy_seconds = self.free_at.saturating_sub(now).as_secs_f64();
         LoadReport {
--- a/crates/balancer/src/health/active_check.rs
+++ b/crates/balancer/src/health/active_check.rs
@@ -1,6 +1,6 @@
 //! Active health checks that ask endpoints for their load (settings keys `LoadReport.Via: pull` and
-//! `Permissions.Probes`): for which requests they are sent, and how long a request is queued for
-//! them.
+//! `Permissions.Probes`): for which requests they are sent, and how long a request waits for their
+//! results at most.
 
 use crate::endpoints::EndpointSet;
 use crate::estimates::load_snapshot::MIN_BUSY_SHARE;
@@ -12,11 +12,11 @@
 /// The maximum number of health checks for one request. The less loaded of two random endpoints is
 /// nearly as good as the least loaded of all.
 const CHECKS_PER_REQUEST: u32 = 2;
-/// How long a request is queued for health checks, as a fraction of the mean response time. An
-/// endpoint that takes longer to answer a health check is a poor choice.
+/// How long a request waits for the results of health checks at most, as a fraction of the mean
+/// response time. An endpoint that takes longer to answer a health check is a poor choice.
 const MAX_QUEUE_TIME_IN_RESPONSE_TIMES: f64 = 1.0 / 16.0;
-/// The lower bound on the time for which a request is queued for health checks, in ticks.
-const MIN_QUEUE_TICKS: u32 = 4;
+/// The lower bound of this maximum wait, in ticks.
+const MAX_QUEUE_TIME_LOWER_BOUND_TICKS: u32 = 4;
 /// The lower bound on the time left that the work of a request is divided by.
 const MIN_TIME_LEFT: Seconds = Seconds::new(1e-6);
 
@@ -43,10 +43,12 @@
     /// Returns whether the expected benefit of health checks for a request is at least their cost,
     /// both in units of the mean request.
     ///
-    /// Without health checks, a request reaches a busy endpoint with probability `busy_share`. At a
-    /// busy endpoint it is late with probability `work / time_left`, at most 1. Health checks avoid
-    /// this risk, or half of it if all checked endpoints are busy. `mean_work` is the mean work of
-    /// a request.
+    /// The benefit follows from a rough model. Without health checks, a request reaches a busy
+    /// endpoint with probability `busy_share`, which counts as at least [`MIN_BUSY_SHARE`], so that
+    /// a share of 0 does not make the benefit 0. At a busy endpoint, the request is assumed to be
+    /// late with probability `work / time_left`, at most 1. Health checks are assumed to avoid all
+    /// of this risk if any checked endpoint is not busy, and half of it if all are busy.
+    /// `mean_work` is the mean work of a request.
     pub(crate) fn benefit_covers_cost(
         &self,
         request: &PendingRequest,
@@ -73,7 +75,8 @@
     }
 
     /// Sends health checks to up to [`CHECKS_PER_REQUEST`] of the targets, selected at random.
-    /// Returns whether any health check, for this or an earlier request, is in flight now.
+    /// Returns whether any health check is in flight now. One that was sent for an earlier request
+    /// counts too: when a health check ends, all queued requests are routed again.
     pub(crate) fn start(
         &mut self,
         mut targets: Vec<EndpointId>,
@@ -96,10 +99,12 @@
         self.in_flight > 0
     }
 
-    /// Returns how long a request is queued for health checks at most.
+    /// Returns how long a request waits for the results of health checks at most.
     pub(crate) fn max_queue_time(&self, mean_response_time: Seconds) -> Duration {
         let queue_time = mean_response_time * MAX_QUEUE_TIME_IN_RESPONSE_TIMES;
-        queue_time.to_duration().max(MIN_QUEUE_TICKS * self.tick)
+        queue_time
+            .to_duration()
+            .max(MAX_QUEUE_TIME_LOWER_BOUND_TICKS * self.tick)
     }
 
     /// Records the end of a health check. Returns whether it was the last one in flight.
--- a/crates/balancer/src/retry/hedging.rs
+++ b/crates/balancer/src/retry/hedging.rs
@@ -1,6 +1,7 @@
 //! Hedged requests: a second attempt starts if the first has had no response for unusually long
-//! (Dean and Barroso, "The Tail at Scale"). If the settings allow only one attempt at a time
-//! (settings key `ParallelTries`), the first is abandoned before the second starts.
+//! (Dean and Barroso, "The Tail at Scale"). If the settings allow parallel attempts (settings key
+//! `ParallelTries`), the second one starts beside the first after the hedge delay. Otherwise the
+//! first is abandoned before the second starts, and as late as possible.
 
 use crate::Settings;
 use crate::numeric::Seconds;
@@ -10,14 +11,16 @@
 /// The delay of a hedged request, as a multiple of the median response time. If response times are
 /// exponentially distributed, one response in sixteen takes longer.
 const DELAY_IN_MEDIANS: f64 = 4.0;
-/// The fraction of the delay after which the timer of a hedged request counts as expired.
+/// The fraction of the delay after which the delay counts as over. The delay is calculated again
+/// when its timer fires, and may have grown by about 1 % with the median without preventing the
+/// hedged request.
 const EXPIRED_DELAY_FRACTION: f64 = 0.99;
 /// The maximum number of attempts of a request in flight at once.
 const MAX_PARALLEL_ATTEMPTS: usize = 2;
 /// The maximum multiple of the mean work that lengthens the delay.
 const MAX_RELATIVE_WORK: f64 = 1e3;
 /// A further attempt is planned only if more time than this is left until the deadline, in quarters
-/// of the delay.
+/// of the delay: a whole delay for the present attempt, and a quarter for the further one.
 const MIN_TIME_LEFT_IN_QUARTER_DELAYS: u32 = 5;
 
 /// How long to wait for an attempt, and when to start another one beside it.
@@ -30,8 +33,9 @@
 
 /// Whether an attempt may be followed by another one.
 pub(crate) struct RetryAllowance {
-    /// For how long from now the idempotency of the request allows a retry, assuming that this
-    /// attempt may have run.
+    /// For how long from now it is safe to repeat the request, given that this attempt may have
+    /// run: without limit if the request is idempotent, not at all if it is not, and for a keyed
+    /// request as long as endpoints recognize the idempotency key, less a margin.
     pub retryable_for: Duration,
     /// Whether the retry budget has room for one more attempt.
     pub budget_allows: bool,
@@ -77,9 +81,14 @@
 
     /// Plans an attempt that starts now, and reserves time for one more if there may be one.
     ///
+    /// If attempts may be parallel, the next one starts one hedge delay after this one, which
+    /// continues until the deadline.
+    ///
     /// If only one attempt may be in flight, this one must be abandoned before the next starts. Its
     /// endpoint usually continues to work on it, so it is abandoned as late as possible: one hedge
-    /// delay before the deadline, or at the end of the time in which a retry is allowed.
+    /// delay before the deadline, or at the end of the time in which a retry is allowed if that is
+    /// earlier. It gets at least one hedge delay, so if less than two are left until the deadline,
+    /// the next attempt gets less than one.
     pub(crate) fn plan(
         &self,
         request: &PendingRequest,
--- a/crates/balancer/src/routing/slow_start.rs
+++ b/crates/balancer/src/routing/slow_start.rs
@@ -1,12 +1,23 @@
-//! Slow start: an endpoint that has just started is sent no more than its present capacity
-//! allows (settings keys `ColdFrom`, `RampTime`, `OverloadFactor` and `TipAfter`).
+//! Slow start: the load on an endpoint that has just started is limited to a multiple of its
+//! guaranteed capacity (settings keys `ColdFrom`, `RampTime`, `OverloadFactor` and `TipAfter`).
 //!
-//! During slow start, an endpoint is sent one request per permit. A node does not know the capacity
-//! of endpoints. Instead of its part of that capacity, it uses the peak rate at which a warm
-//! endpoint serves this node, since a warm endpoint serves all nodes together at less than its
-//! capacity. The rate of permits is this rate times the fraction of the capacity that is guaranteed
-//! at the age of the endpoint, times a load factor. Permits are drawn at random and expire soon;
-//! otherwise hundreds of quiet nodes could accumulate permits and spend them in one burst.
+//! The rules guarantee a fraction of the full capacity at each age of an endpoint. They permit a
+//! load above the capacity: the endpoint fails only if the load exceeds [`Rules::overload_factor`]
+//! times its capacity for as long as [`Rules::overload_window`]. The load is therefore limited to
+//! [`load_factor`] times the guaranteed capacity.
+//!
+//! During slow start, an endpoint is sent one request per permit. The rate of permits is the
+//! product of three factors: the load factor, the guaranteed fraction of the capacity, and the rate
+//! at which this node may use an endpoint of full capacity. A node does not know the capacity of
+//! endpoints, so for the last factor it uses the peak rate at which a warm endpoint has served this
+//! node. This is assumed to be a cautious estimate: a warm endpoint serves all nodes together at
+//! less than its capacity, so the rates of all nodes add up to less than the capacity.
+//!
+//! All rates are work per second, in units of the mean work of a request. A permit stands for one
+//! unit, although the request that uses it may be lighter or heavier, up to a maximum.
+//!
+//! Permits are drawn at random and expire soon; otherwise hundreds of quiet nodes could accumulate
+//! permits and spend them in one burst.
 
 use crate::endpoints::{Endpoint, EndpointSet, Permit};
 use crate::estimates::WarmEndpointRate;
@@ -22,7 +33,8 @@
 const USED_FRACTION_OF_OVERLOAD_FACTOR: f64 = 0.6;
 /// The maximum load factor. A higher one would overload an endpoint without benefit.
 const MAX_LOAD_FACTOR: f64 = 1.6;
-/// The maximum relative work of a request that is sent to an endpoint in slow start.
+/// The maximum work of a request that is sent to an endpoint in slow start, in units of the mean
+/// work of a request.
 const MAX_RELATIVE_WORK: f64 = 2.0;
 
 /// Returns the load to put on an endpoint in slow start, as a multiple of its guaranteed capacity.
@@ -36,7 +48,8 @@
     /// The load on an endpoint in slow start, as a multiple of its guaranteed capacity.
     load_factor: f64,
     permit_lifetime: Duration,
-    /// The work that a warm endpoint serves for this node.
+    /// The work per second that a warm endpoint serves for this node, in units of the mean work of
+    /// a request.
     warm_endpoint_rate: WarmEndpointRate,
 }
 
@@ -57,12 +70,13 @@
         self.warm_endpoint_rate.start(now);
     }
 
-    /// Records work that has arrived.
+    /// Records work that has arrived, in units of the mean work of a request.
     pub(crate) fn record_arrival(&mut self, work: f64, now: Duration) {
         self.warm_endpoint_rate.record_arrival(work, now);
     }
 
-    /// Records work that an endpoint has served; only that of warm endpoints counts.
+    /// Records work that an endpoint has served, in units of the mean work of a request. Only that
+    /// of warm endpoints counts.
     pub(crate) fn record_served(&mut self, endpoint: &Endpoint, work: f64, now: Duration) {
         if self.capacity.is_warm(endpoint, now) {
             self.warm_endpoint_rate.record_served(work, now);
@@ -96,15 +110,16 @@
             let Some(endpoint) = endpoints.get_mut(id) else {
                 continue;
             };
-            let capacity = self.capacity.guaranteed_fraction(endpoint, now);
-            let rate = self.load_factor * capacity * self.warm_endpoint_rate.peak();
+            let capacity_fraction = self.capacity.guaranteed_fraction(endpoint, now);
+            let rate = self.load_factor * capacity_fraction * self.warm_endpoint_rate.peak();
             self.draw_permit(&mut endpoint.permit, rate, draw, now);
         }
     }
 
-    /// Draws one permit. The probability to get it is that of at least one event of a Poisson
-    /// process with this rate since the last draw: `1 - exp(-rate * elapsed)`. Time before the last
-    /// permit lifetime does not count, since a permit from that time would have expired.
+    /// Draws one permit. `rate` is the rate of permits per second. The probability to get a permit
+    /// is that of at least one event of a Poisson process with this rate since the last draw:
+    /// `1 - exp(-rate * elapsed)`. Time before the last permit lifetime does not count, since a
+    /// permit from that time would have expired.
     fn draw_permit(&self, permit: &mut Permit, rate: f64, draw: f64, now: Duration) {
         let elapsed = permit
             .since_draw(now)
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -13,7 +13,7 @@
 
 use crate::logging::log;
 use crate::message::{DiscoveryCommand, DriverMessage, EndpointListUpdate, ListedEndpoint};
-use backoff::{ReconnectBackoff, max_wait};
+use backoff::ReconnectBackoff;
 use client::DiscoveryClient;
 use endpoint_list::{EndpointList, EntryParser};
 use list_version::ListVersion;
@@ -69,7 +69,7 @@
 enum ListSource {
     /// The configuration.
     Cached,
-    /// A watch.
+    /// A watch, whether it is always open or was opened on the balancer's command.
     Watched,
 }
 
@@ -87,13 +87,13 @@
 impl Discovery {
     /// Creates a discovery that has made no call yet, and sends updates of the list to `messages`.
     pub(crate) fn new(options: DiscoveryOptions, messages: mpsc::Sender<DriverMessage>) -> Self {
-        let max_wait = max_wait(options.drain_grace);
-        let connect_timeout = 2 * max_wait;
+        let max_backoff_wait = backoff::max_wait(options.drain_grace);
+        let connect_timeout = 2 * max_backoff_wait;
         Discovery {
             client: DiscoveryClient::new(options.address, connect_timeout),
             // The seed is inverted, so that the jitter does not repeat the balancer's random
             // numbers.
-            backoff: ReconnectBackoff::new(max_wait, !options.seed),
+            backoff: ReconnectBackoff::new(max_backoff_wait, !options.seed),
             parser: EntryParser::new(options.zone_names, options.machine_type_names),
             messages,
             readiness: Readiness::default(),
@@ -132,6 +132,8 @@
             return;
         };
         self.apply_list(list, ListSource::Cached).await;
+        // Version 0 stands for the time before the first list. A cached list without an index, or
+        // with index 0, therefore does not make the node ready after a delay.
         if self.version.is_known() {
             self.readiness.set_after_max_wait();
         }
@@ -149,6 +151,9 @@
 
     /// Applies a list or delta, and publishes it. A malformed entry is dropped; the others are
     /// kept.
+    ///
+    /// A stale delta is published without entries: it still shows a balancer that polls that its
+    /// call has succeeded, so that no further call is due.
     async fn apply_list(&mut self, list: EndpointList, source: ListSource) {
         let kind = source.kind(list.snapshot);
         let version = self.version.of_update(list.index);
@@ -157,8 +162,9 @@
         // The version advances only after the list was published: if the watch is dropped before,
         // the next watch has to get the same changes again.
         self.version.advance(kind, version);
-        // A cached list suffices only if the balancer polls. Otherwise the node waits for a list
-        // from discovery, at most as long as `Readiness::set_after_max_wait` does.
+        // A cached list suffices at once only if the balancer polls. Otherwise the node waits for a
+        // list from discovery; the delay of `Readiness::set_after_max_wait` bounds this wait if the
+        // version of the cached list is known. That delay is not the maximum wait of the backoff.
         if kind != ListKind::Cached || self.poll {
             self.readiness.set();
         }
@@ -166,7 +172,8 @@
 
     /// Returns the entries of an update, or no entries if the update is stale.
     ///
-    /// A stale delta would revert later changes, for example the start of an endpoint's drain.
+    /// Only a delta can be stale. Its entries would revert later changes, for example the start of
+    /// an endpoint's drain.
     fn entries_unless_stale(
         &self,
         kind: ListKind,
--- a/crates/node/src/downstream/listener.rs
+++ b/crates/node/src/downstream/listener.rs
@@ -13,7 +13,8 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, timeout};
 
-/// How long to wait after a failed accept, and before another connection is evicted.
+/// How long to wait after a failed accept, and how long to wait at most for a change of a full
+/// registry before eviction is tried again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 /// The greatest number of connections that are accepted from the kernel's queue before the listener
 /// is closed: as many as the queue holds. Without a limit, clients that reconnect at once could
@@ -79,6 +80,7 @@
         self.serve_pending();
         let mut failures = 0;
         for _ in 0..MAX_QUEUED_CONNECTIONS {
+            // An accept waits only if the queue is empty. The zero timeout ends this wait.
             match timeout(Duration::ZERO, self.listener.accept()).await {
                 Ok(Ok(stream)) => {
                     self.server.serve(stream);
@@ -105,7 +107,8 @@
     async fn recover(&self, error: io::Error) {
         log_rate_limited(format_args!("cannot accept a connection: {error}"));
         match AcceptErrorKind::from(&error) {
-            // The next accepts may fail too, so this yields to the other tasks.
+            // Only this accept has failed, so there is nothing to wait for. Since the next accepts
+            // may fail too, this yields to the other tasks.
             AcceptErrorKind::OneConnection => return yield_now().await,
             AcceptErrorKind::OutOfDescriptors => {
                 let registry = self.server.registry();
@@ -116,7 +119,9 @@
         sleep(RETRY_INTERVAL).await;
     }
 
-    /// Evicts idle connections until the registry is not full.
+    /// Evicts idle connections until the registry is not full. Tries again after each change of the
+    /// registry, and after [`RETRY_INTERVAL`] without one, since a connection that takes too long
+    /// to close is aborted only by a later eviction.
     async fn wait_for_capacity(&self) {
         let registry = self.server.registry();
         while registry.is_full() {
--- a/crates/node/src/upstream/pool/checkout.rs
+++ b/crates/node/src/upstream/pool/checkout.rs
@@ -25,6 +25,8 @@
     /// Waits until a connection is delivered or the checkout has failed.
     async fn wait(mut self) -> CheckoutResult {
         let delivered = (&mut self.delivery).await;
+        // The sender is dropped without a result only if the endpoint is removed from the table.
+        // Before that, the pool fails the endpoint's waiters with the same error.
         delivered.unwrap_or(Err(CheckoutError::EndpointUnavailable))
     }
 }
@@ -33,6 +35,7 @@
     fn drop(&mut self) {
         self.delivery.close();
         if let Ok(Ok(connection)) = self.delivery.try_recv() {
+            // The checkout has sent nothing on the connection, so no cool-down is needed.
             self.pool.release_without_cooldown(connection);
         }
     }
@@ -41,6 +44,13 @@
 impl Pool {
     /// Takes the most recently used idle connection. If there is none, waits for the first to
     /// become available of a released connection and a newly dialled one.
+    ///
+    /// # Errors
+    ///
+    /// Fails at once if the endpoint is not listed. Also fails at once if a dial is needed, the
+    /// connection limit is reached, and no idle connection can be closed to make room: the checkout
+    /// then does not wait for a released connection. Otherwise fails if a dial fails and no other
+    /// is left for this checkout, or if the endpoint becomes unavailable in the meantime.
     pub(crate) async fn checkout(self: &Rc<Self>, endpoint: EndpointId) -> CheckoutResult {
         if let Some(connection) = self.take_idle(endpoint)? {
             return Ok(connection);
