--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -53,7 +53,8 @@
             }
             Input::PeerMessage => {}
             Input::Event { event, report } => {
-                // Events that arrive after a node has stopped are ignored.
+                // Events are ignored if the node is not running: it was never started, it was
+                // stopped, or its balancer panicked.
                 let Some(running) = self.nodes.get_mut(&node) else {
                     return Ok(());
                 };
--- a/crates/simulator-adapter/src/wire/record.rs
+++ b/crates/simulator-adapter/src/wire/record.rs
@@ -13,7 +13,7 @@
 
 /// Set in the flags of a request that carries a cost hint.
 const COST_HINT_FLAG: u8 = 1;
-/// Set in the flags of a request that the client retries.
+/// Set in the flags of a request that is a client's retry of its own earlier request.
 const CLIENT_RETRY_FLAG: u8 = 2;
 
 /// The maximum number of values in a load report.
@@ -46,12 +46,12 @@
     Stop,
     /// A message from another node. The balancer does not use it.
     PeerMessage,
-    /// An event for the balancer. The load report is separate, because decoding it takes the
-    /// columns from the settings of the node.
+    /// An event for the balancer. Its load report is separate and raw: only the columns in the
+    /// settings of the node name the values, and they are not known here.
     Event {
-        /// The event, without its load report.
+        /// The event. Its own `report`, if it has that field, is `None`.
         event: Event,
-        /// The load report that came with an attempt or a health check, if any.
+        /// The raw load report that came with an attempt or a health check, if any.
         report: Option<RawLoadReport>,
     },
 }
@@ -76,6 +76,9 @@
     }
 
     /// Decodes a load report. Returns `None` if it has no values.
+    ///
+    /// The record has room for [`MAX_LOAD_REPORT_VALUES`] values, and all of them are read. Those
+    /// after the first `count` are padding.
     fn decode(fields: &mut FieldReader) -> Result<Option<Self>, RecordError> {
         let count = usize::from(fields.u8()?);
         if count > MAX_LOAD_REPORT_VALUES {
--- a/crates/xtask/src/citations/symbols.rs
+++ b/crates/xtask/src/citations/symbols.rs
@@ -13,7 +13,9 @@
 
 /// The tests, functions and Rust files of the repository.
 pub(super) struct Symbols {
-    /// The qualified names of all tests, such as `CRATE::PROGRAM::MODULE::NAME`.
+    /// The qualified names of all tests: `CRATE::PROGRAM::MODULE::NAME` for an integration test,
+    /// where `CRATE` is the folder of its crate under `crates/`, and `PROGRAM::MODULE::NAME` for
+    /// any other test.
     tests: Vec<String>,
     /// All functions as pairs of the name of their file's module and their own name.
     functions: BTreeSet<(String, String)>,
@@ -58,7 +60,8 @@
     }
 
     /// Returns whether a function has the name in the last segment, and its file is the module
-    /// named by the segment before it.
+    /// named by the segment before it. A name without a module names no function, and neither does
+    /// a prefix (`PREFIX...`) or a group (`*`): these match tests only.
     fn has_function(&self, name: &CitedName) -> bool {
         let (Some(module), LastSegment::Exact(function)) = (name.modules.last(), name.last) else {
             return false;
@@ -83,6 +86,8 @@
         Some(format!("{folder}::{name}"))
     };
     // For unit tests, cargo prints `src/lib.rs` or `src/main.rs`, which does not tell the crate.
+    // The path of an integration test is assumed to exist in one crate only: the first file that
+    // matches determines the crate.
     let is_integration_test = program.source.starts_with("tests/");
     let qualified = paths
         .iter()
--- a/crates/xtask/src/test_output.rs
+++ b/crates/xtask/src/test_output.rs
@@ -34,7 +34,8 @@
         })
     }
 
-    /// Returns the name that `KNOWN-RED.txt` uses for the program: `PROGRAM/PATH`.
+    /// Returns the name that `KNOWN-RED.txt` uses for the program: `PROGRAM/PATH`, where `PROGRAM`
+    /// is the field `name` and `PATH` the field `source`.
     pub(crate) fn full_name(&self) -> String {
         format!("{}/{}", self.name, self.source)
     }
@@ -70,7 +71,9 @@
 }
 
 impl Test {
-    /// Returns the name that `KNOWN-RED.txt` uses for the test: `PROGRAM/PATH::NAME`.
+    /// Returns the name that `KNOWN-RED.txt` uses for the test: `PROGRAM/PATH::NAME`, where
+    /// `PROGRAM/PATH` is the full name of the program, or empty without a program, and `NAME` is
+    /// the field `path`.
     pub(crate) fn full_name(&self) -> String {
         let program = self.program.as_ref().map(TestProgram::full_name);
         format!("{}::{}", program.unwrap_or_default(), self.path)
@@ -132,7 +135,8 @@
 }
 
 /// Returns the sum of the numbers before `failed;` in a line such as
-/// `test result: FAILED. 7 passed; 1 failed; 0 ignored`.
+/// `test result: FAILED. 7 passed; 1 failed; 0 ignored`. The result of one program has one such
+/// number; if a line has several, they are added.
 fn failed_tests_in_result(line: &str) -> usize {
     let words: Vec<&str> = line.split_whitespace().collect();
     let pairs = words.windows(2);
@@ -153,7 +157,9 @@
     })
 }
 
-/// Splits the output at `\n`. Unlike `str::lines`, it keeps a carriage return at the end of a line.
+/// Splits the output at `\n`. Unlike `str::lines`, it keeps a carriage return at the end of a line:
+/// cargo and the test programs are assumed to end their own lines with `\n` alone, so that a line
+/// that ends with `\r\n` differs from theirs.
 fn lines(output: &str) -> impl Iterator<Item = &str> {
     output.split_terminator('\n')
 }
