--- a/crates/balancer-simulation/src/fleet.rs
+++ b/crates/balancer-simulation/src/fleet.rs
@@ -43,7 +43,9 @@
     /// The seed of all random numbers.
     pub seed: u64,
     /// Whether endpoints, discovery and clients have faults. If so, requests belong to all classes
-    /// and tenants, and endpoints respond to health checks.
+    /// and tenants, and health checks and subscriptions to the endpoint list are answered.
+    /// Otherwise, every request has class 0 and tenant 0, and health checks and subscriptions get
+    /// no answer.
     pub faults: bool,
 }
 
@@ -62,10 +64,11 @@
     pub requests: usize,
     /// The number of requests served so far.
     pub served: usize,
+    /// The value of [`FleetConfig::faults`]; `false` until all nodes have their first list.
     faults: bool,
-    /// The milliseconds by which the wall clock is ahead of the nodes' own clocks. Start times in
-    /// endpoint lists are wall clock times.
-    pub clock_step_ms: i64,
+    /// The milliseconds by which the wall clock is ahead of the nodes' own clocks. It is added to
+    /// the start times in every endpoint list, which are wall clock times.
+    pub wall_clock_offset_ms: i64,
     digest: ActionDigest,
 }
 
@@ -86,7 +89,7 @@
             requests: 0,
             served: 0,
             faults: false,
-            clock_step_ms: 0,
+            wall_clock_offset_ms: 0,
             digest: ActionDigest::default(),
         };
         fleet.start_nodes(config.nodes, config.rate);
@@ -97,7 +100,8 @@
             fleet.deliver_snapshot(node);
             fleet.schedule_arrival(node);
         }
-        // Faults start only after all nodes have received their first list.
+        // Faults start only after all nodes have received their first list. Until then, health
+        // checks and subscriptions get no answer either.
         fleet.faults = config.faults;
         fleet
     }
@@ -116,20 +120,21 @@
             .fold(f64::MIN, f64::max)
     }
 
-    /// Drains some endpoints, adds others that start now, and sends the new list to all nodes.
+    /// Adds the endpoints `added`, which start now, sets the endpoints `drained` to draining, and
+    /// delivers the new list to all nodes. Draining endpoints stay listed.
     ///
     /// # Panics
     ///
-    /// Panics if an endpoint to be removed was never added.
-    pub fn replace_endpoints(&mut self, removed: Range<u64>, added: Range<u64>) {
+    /// Panics if an endpoint to be drained was never added.
+    pub fn replace_endpoints(&mut self, drained: Range<u64>, added: Range<u64>) {
         for id in added {
             self.add_endpoint(started_entry(id, self.now));
         }
-        for id in removed {
+        for id in drained {
             let endpoint = self
                 .endpoints
                 .get_mut(&EndpointId(id))
-                .expect("the endpoint to remove was never added");
+                .expect("the endpoint to drain was never added");
             endpoint.entry.state = EndpointState::Draining;
         }
         for node in 0..self.nodes.len() {
--- a/crates/balancer-simulation/src/fleet/nodes.rs
+++ b/crates/balancer-simulation/src/fleet/nodes.rs
@@ -63,6 +63,8 @@
         let restarted = &mut self.nodes[node];
         restarted.balancer = balancer;
         restarted.incarnation += 1;
+        // The endpoints still do the work of these attempts, but the scheduled ends are discarded:
+        // the node does not learn the outcomes, and the requests do not count as served.
         restarted.attempts.clear();
         self.deliver_snapshot(node);
     }
@@ -116,10 +118,10 @@
 
     /// Returns an entry with its start time converted to the wall clock.
     fn with_wall_clock_start(&self, entry: EndpointEntry) -> EndpointEntry {
-        let step = Duration::from_millis(self.clock_step_ms.unsigned_abs());
-        let shift = |started: Duration| match self.clock_step_ms {
-            0.. => started + step,
-            _ => started.saturating_sub(step),
+        let offset = Duration::from_millis(self.wall_clock_offset_ms.unsigned_abs());
+        let shift = |started: Duration| match self.wall_clock_offset_ms {
+            0.. => started + offset,
+            _ => started.saturating_sub(offset),
         };
         EndpointEntry {
             started: entry.started.map(shift),
@@ -153,6 +155,8 @@
                 self.schedule(at, node, NodeEvent::Timer(timer));
             }
             Action::CancelAttempt { id, attempt } => {
+                // `started` is the time of the cancellation, so the node is told that the cancelled
+                // attempt took no time.
                 let end = ScheduledAttemptEnd {
                     id,
                     attempt: attempt as usize,
@@ -172,6 +176,8 @@
                 let event = self.draw_list_outcome();
                 self.schedule(self.now + LIST_DELAY, node, event);
             }
+            // The fleet keeps no state of the final responses `Shed` and `Fail`, nor of
+            // unsubscribing. Without faults, health checks and subscriptions get no answer.
             _ => {}
         }
     }
--- a/crates/balancer-simulation/src/node/invariants.rs
+++ b/crates/balancer-simulation/src/node/invariants.rs
@@ -1,8 +1,14 @@
-//! The invariants of a node, which are checked for each action:
+//! The invariants of a node. Deadlines are checked at each tick, everything else at each action:
 //!
-//! 1. Each request gets exactly one final response, by its deadline.
-//! 2. A request that may have run is retried or shed only if its idempotency allows that.
-//! 3. No attempt starts at an endpoint that drains or was removed after the grace period.
+//! 1. Each request gets exactly one final response, by its deadline, and no attempt starts after
+//!    that response. [`NodeSimulation::finish_request`] detects a second response.
+//! 2. A request that may have run is retried or shed only if its idempotency allows that. A shed
+//!    response tells the client that it may send the request again, which may reach any endpoint.
+//! 3. No attempt starts at an endpoint that has been draining or removed from the list for longer
+//!    than the grace period.
+//!
+//! The checks also cover the limits in the settings: on the number of attempts, and on whether
+//! parallel attempts, cancellations and health checks are allowed.
 //!
 //! Invariant 4, the limit of an endpoint in slow start, concerns the attempts of all nodes
 //! together. [`fleet`](crate::fleet) measures them.
@@ -29,7 +35,8 @@
         }
     }
 
-    /// Checks that a request may be shed now (invariant 2).
+    /// Checks that a request may be shed now (invariant 2). A retry by the client may reach any
+    /// endpoint, so a request keyed within a zone or cell must not have run.
     pub(super) fn check_shed(&self, id: RequestId) {
         let request = self
             .requests
@@ -85,7 +92,8 @@
             .is_none_or(|at| self.now <= at + grace);
         assert!(
             in_grace,
-            "invariant 3: an attempt starts at {endpoint:?}, which drains or was removed"
+            "invariant 3: an attempt starts at {endpoint:?}, which has been draining or removed \
+             for longer than the grace period"
         );
         let limits = &self.settings.limits;
         assert!(
--- a/crates/balancer/tests/fleet_slow_start.rs
+++ b/crates/balancer/tests/fleet_slow_start.rs
@@ -143,10 +143,10 @@
 
 /// Endpoint lists give start times by the wall clock, which may be stepped by any amount. Endpoints
 /// that have just started then appear older, or seem to start in the future. Their limit must hold
-/// all the same.
+/// all the same. The fleet simulates the step by a constant offset of all start times.
 #[test]
 fn fleet_stays_within_slow_start_limit_after_clock_step() {
-    for clock_step_ms in [-60_000, -20_000, -6_000, -2_000, 3_600_000] {
+    for wall_clock_offset_ms in [-60_000, -20_000, -6_000, -2_000, 3_600_000] {
         for (nodes, endpoints, capacity, overload_factor) in [
             (3, 12, 100.0, 1.5),
             (30, 24, 100.0, 1.5),
@@ -161,14 +161,15 @@
                 seed: 1,
             };
             let mut fleet = start_fleet(case);
-            fleet.clock_step_ms = clock_step_ms;
+            fleet.wall_clock_offset_ms = wall_clock_offset_ms;
             fleet.advance(WARM_UP);
             replace_half_of_endpoints(&mut fleet, endpoints);
             fleet.advance(OBSERVED_TIME);
             let excess = fleet.max_limit_excess();
             assert!(
                 excess <= 0.0,
-                "{case:?}, clock stepped by {clock_step_ms} ms: {excess} requests above the limit"
+                "{case:?}, wall clock ahead by {wall_clock_offset_ms} ms: {excess} requests above \
+                 the limit"
             );
         }
     }
