--- a/crates/balancer/tests/decisions/admission.rs
+++ b/crates/balancer/tests/decisions/admission.rs
@@ -1,4 +1,9 @@
 //! Admission control: which requests are shed in an overload.
+//!
+//! A load level is the load of an endpoint in whole requests; here it is estimated from this node's
+//! attempts in flight there. A level is open while most attempts that started at it are in time. An
+//! endpoint at a closed level admits almost no requests. Levels 0 and 1 are open at the start and
+//! allow two attempts in flight at an endpoint.
 
 use crate::support::serve_one;
 use ottertiller_balancer::{Outcome, Tenant};
@@ -8,7 +13,14 @@
 use ottertiller_balancer_simulation::node::{AttemptId, NodeSimulation, RequestOptions};
 use std::time::Duration;
 
-/// A response time just within the latency objective of 400 ms.
+/// The number of endpoints in most of these tests.
+const ENDPOINTS: usize = 4;
+/// The most attempts in flight at an endpoint while only load levels 0 and 1 are open.
+const INITIAL_MAX_IN_FLIGHT: usize = 2;
+/// The attempts in flight at an endpoint, on average, that show that higher load levels are open.
+const IN_FLIGHT_AT_HIGHER_LEVELS: usize = 4;
+/// A response time just within the latency objective of 400 ms. Responses after three quarters of
+/// the objective count as late.
 const JUST_WITHIN_OBJECTIVE: Duration = Duration::from_millis(390);
 /// The number of requests in flight that a busy endpoint reports.
 const BUSY: f32 = 3.0;
@@ -54,24 +66,24 @@
 /// attempt there times out.
 #[test]
 fn fresh_node_limits_requests_in_flight_during_overload() {
-    let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
+    let mut node = NodeSimulation::with_endpoints(response_report_settings(), ENDPOINTS as u64);
     for _ in 0..300 {
         node.request(NOT_IDEMPOTENT);
         node.advance(ms(1));
     }
     assert!(
-        node.attempts_in_flight().len() <= 4 * 2,
-        "{} in flight at four unresponsive endpoints",
+        node.attempts_in_flight().len() <= ENDPOINTS * INITIAL_MAX_IN_FLIGHT,
+        "{} in flight at {ENDPOINTS} unresponsive endpoints",
         node.attempts_in_flight().len()
     );
 }
 
 /// If nearly all responses arrive just within the latency objective, the endpoints are already
-/// overloaded. Such responses must not open load levels.
+/// overloaded. Such responses must not open load levels; quick responses must.
 #[test]
-fn responses_near_objective_close_load_levels() {
+fn responses_near_objective_open_no_load_levels() {
     let most_in_flight = |response_time: Duration| {
-        let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
+        let mut node = NodeSimulation::with_endpoints(response_report_settings(), ENDPOINTS as u64);
         let mut most = 0;
         for _ in 0..2000 {
             node.request(NOT_IDEMPOTENT);
@@ -90,12 +102,13 @@
         most_in_flight(JUST_WITHIN_OBJECTIVE),
     );
     assert!(
-        quick >= 4 * 4,
-        "{quick} in flight at four endpoints: quick responses open load levels"
+        quick >= ENDPOINTS * IN_FLIGHT_AT_HIGHER_LEVELS,
+        "{quick} in flight at {ENDPOINTS} endpoints: quick responses should open load levels"
     );
     assert!(
-        late <= 4 * 2,
-        "{late} in flight at four endpoints: responses near the objective keep levels closed"
+        late <= ENDPOINTS * INITIAL_MAX_IN_FLIGHT,
+        "{late} in flight at {ENDPOINTS} endpoints: responses near the objective should open no \
+         load levels"
     );
 }
 
@@ -104,7 +117,7 @@
 fn higher_priority_is_admitted_first_in_overload() {
     let mut settings = response_report_settings();
     settings.classes[NOT_IDEMPOTENT].priority_weight = 10.0;
-    let mut node = NodeSimulation::with_endpoints(settings, 4);
+    let mut node = NodeSimulation::with_endpoints(settings, ENDPOINTS as u64);
     let mut sent = [0, 0];
     for step in 0..600 {
         let class = [IDEMPOTENT, NOT_IDEMPOTENT][step % 2];
@@ -121,10 +134,11 @@
 
 /// Hundreds of nodes may overload the endpoints with one request each, so that no node has several
 /// attempts in flight at an endpoint. A node must shed then, and admit all requests again after the
-/// overload.
+/// overload. Here the node has one attempt in flight at a time, so it never has one already at the
+/// endpoint that it chooses. The responses report busy endpoints.
 #[test]
-fn late_responses_of_idle_endpoints_cause_shedding_and_recovery() {
-    let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
+fn late_responses_without_own_load_cause_shedding_and_recovery() {
+    let mut node = NodeSimulation::with_endpoints(response_report_settings(), ENDPOINTS as u64);
     let sent = |node: &mut NodeSimulation, response_time: Duration| {
         let mut sent = 0;
         for _ in 0..200 {
@@ -148,7 +162,7 @@
 /// ones, and is shed at once. If most endpoints are idle, it is sent.
 #[test]
 fn request_with_cost_beyond_objective_is_shed_at_once() {
-    let mut node = NodeSimulation::with_endpoints(response_report_settings(), 4);
+    let mut node = NodeSimulation::with_endpoints(response_report_settings(), ENDPOINTS as u64);
     for _ in 0..60 {
         serve_one(&mut node, BUSY); // no endpoint is idle
     }
--- a/crates/balancer/tests/faults.rs
+++ b/crates/balancer/tests/faults.rs
@@ -11,6 +11,10 @@
 use ottertiller_balancer_simulation::node::{NodeSimulation, RequestOptions};
 use std::time::Duration;
 
+/// The number of requests in flight that endpoints report with each response. An endpoint is idle
+/// below 0.5, so no response reports an idle endpoint.
+const REPORTED_IN_FLIGHT: f32 = 1.0;
+
 /// Totals over a series of requests.
 #[derive(Debug, Default)]
 struct Summary {
@@ -21,7 +25,7 @@
 
 /// Sends requests of all classes, one every 30 ms, and checks that retries stay within their
 /// budget. `outcome` returns the outcome of an attempt at an endpoint within that time; `None`
-/// means that the attempt stays in flight.
+/// means that the attempt stays in flight. All health checks and responses report busy endpoints.
 fn simulate(
     node: &mut NodeSimulation,
     requests: usize,
@@ -37,14 +41,15 @@
             if let Some(outcome) = outcome(node.endpoint_of(attempt).0) {
                 summary.served +=
                     usize::from(outcome == Outcome::Served && !node.is_finished(attempt.request));
-                node.end_attempt(attempt, outcome, Some(1.0));
+                node.end_attempt(attempt, outcome, Some(REPORTED_IN_FLIGHT));
             }
         }
     }
     let actions = &node.actions[before..];
     summary.attempts = count_attempts(actions);
     summary.polls = count_polls(actions);
-    // The budget is 0.4 retries per request, plus 10: twice the budget that may be saved up.
+    // Each request adds 0.4 retries to the budget, in which at most 5 retries can be saved up. The
+    // check allows 10 retries above 0.4 per request, twice that maximum.
     assert!(
         summary.attempts <= requests + requests * 2 / 5 + 10,
         "retries exceed their budget: {summary:?}"
@@ -206,11 +211,20 @@
 
 /// One endpoint never responds, and every tenth request is heavy. The other endpoints must still
 /// serve the light requests.
+///
+/// A request is heavy by its cost hint alone. One request is sent in each step of 40 ms. It is
+/// served at the end of the step, unless it is at the stalled endpoint or its first attempt started
+/// during the step. An attempt left from an earlier step is served at the end of a light request's
+/// step, once 320 ms have passed since the first attempt of its request.
 #[test]
 fn heavy_requests_at_stalled_endpoint_do_not_stop_light_ones() {
     const STALLED: EndpointId = EndpointId(0);
+    /// The cost hint of a light request, and the length of a step.
     const LIGHT: Duration = Duration::from_millis(40);
+    /// The cost hint of a heavy request.
     const HEAVY: Duration = Duration::from_millis(390);
+    /// The response time of a request that is not served in its own step.
+    const DELAYED_RESPONSE_TIME: Duration = Duration::from_millis(320);
     for mut node in nodes_with_endpoints(4) {
         let mut served = 0;
         for number in 0..400 {
@@ -227,12 +241,12 @@
                 if is_heavy && !is_own {
                     continue;
                 }
-                let response_time = if is_own { LIGHT } else { ms(320) };
+                let response_time = if is_own { LIGHT } else { DELAYED_RESPONSE_TIME };
                 if node.endpoint_of(attempt) != STALLED
                     && node.since_first_attempt(attempt.request) >= response_time
                 {
                     served += usize::from(is_own && !is_heavy);
-                    node.end_attempt(attempt, Outcome::Served, Some(1.0));
+                    node.end_attempt(attempt, Outcome::Served, Some(REPORTED_IN_FLIGHT));
                 }
             }
         }
@@ -240,8 +254,9 @@
     }
 }
 
-/// In admission control, high load levels start closed. A node that has only seen endpoints at
-/// closed levels must open one, or it would shed all requests indefinitely.
+/// In admission control, the load levels from 2 on start closed. In [`simulate`], health checks
+/// report 2 requests in flight and responses 1, so the node sees no idle endpoint. It must still
+/// open a closed level, or it would shed all requests indefinitely.
 #[test]
 fn node_that_sees_only_busy_endpoints_still_serves() {
     let mut node = NodeSimulation::with_endpoints(health_check_settings(), 4);
