--- a/crates/node/src/socket/tests.rs
+++ b/crates/node/src/socket/tests.rs
@@ -10,8 +10,8 @@
 
 /// How long the kernel may take to deliver what a peer did, in real time.
 const KERNEL_DELAY: Duration = Duration::from_millis(20);
-/// How soon the close of a peer must be noticed. The runtime's clock is paused, and advances only
-/// while every task waits.
+/// How soon the close of a peer must be noticed: a client counts as disconnected 0.1 s after it
+/// closed. The runtime's clock is paused, and advances only while every task waits.
 const DISCONNECT_DEADLINE: Duration = Duration::from_millis(100);
 
 #[test]
--- a/crates/node/tests/node/slow_clients.rs
+++ b/crates/node/tests/node/slow_clients.rs
@@ -12,11 +12,13 @@
 
 const LINE_END: &str = "\r\n";
 
-/// How long the process is stopped: longer than a client may take to send a request.
+/// How long the process is stopped: longer than the 2 s that a client may take to send a request
+/// (the node's read timeout).
 const STOP_DURATION: Duration = Duration::from_millis(2500);
 
-/// The node closes slow clients within 3 s. The rest is a margin for slow machines.
-const MAX_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long the node may take to close slow clients. It closes them within 3 s: its read timeout is
+/// 2 s, and is checked every 0.1 s. The rest is a margin for slow machines.
+const MAX_CLOSE_TIME: Duration = Duration::from_secs(10);
 
 #[test]
 fn incomplete_request_times_out_and_idle_connection_does_not() {
@@ -43,7 +45,7 @@
     );
     assert!(slow_body.wait_for_close());
     assert!(
-        connected.elapsed() < MAX_TIMEOUT,
+        connected.elapsed() < MAX_CLOSE_TIME,
         "the clients were closed after {:?}",
         connected.elapsed()
     );
@@ -51,8 +53,8 @@
     assert_eq!(endpoint.request_count(), 3);
 }
 
-/// The process is stopped for longer than a client may take to send a request. The last bytes of
-/// the requests arrived in time, but the node can read them only after its timeout.
+/// The process is stopped for longer than the node's read timeout. The last bytes of the requests
+/// arrive in time, but the node can read them only after the timeout.
 #[test]
 fn request_received_while_process_stopped_gets_response() {
     let endpoint = ScriptedEndpoint::serving("");
@@ -65,6 +67,8 @@
             .expect("head should end with an empty line");
         client.write(without_end.as_bytes());
     }
+    // The node runs on one thread and accepts connections in order. When it responds to the
+    // readiness check, which comes last, it is assumed to have read the heads sent before.
     assert!(
         node.is_ready(),
         "node should be ready and have read the heads"
@@ -86,7 +90,8 @@
 #[test]
 fn silent_clients_do_not_displace_active_clients() {
     let endpoint = ScriptedEndpoint::serving("");
-    // With 60 sockets, the node holds at most six client connections.
+    // Of 60 descriptors, the node reserves 48 (see `config/capacity.rs`). Half of the other 12 are
+    // for clients, so it holds at most six client connections.
     let (node, _discovery) = NodeSetup::default().sockets(60).start(&[&endpoint]);
     let mut active = [node.client(), node.client()];
     for client in &mut active {
--- a/crates/node/tests/node/soak.rs
+++ b/crates/node/tests/node/soak.rs
@@ -18,7 +18,7 @@
 
 /// The longest deadline of the deployment, in milliseconds.
 const DEADLINE_MS: u64 = 600;
-/// Operators send SIGKILL no earlier than the longest deadline and this time after SIGTERM.
+/// After SIGTERM, operators wait for the longest deadline plus this time before they send SIGKILL.
 const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
 /// The default number of runs, each with its own seed.
 const DEFAULT_SEEDS: u64 = 6;
@@ -79,7 +79,8 @@
 struct SentRequest {
     id: String,
     is_idempotent: bool,
-    /// How long after SIGTERM the client sent it. `None` if it was sent before.
+    /// The time since SIGTERM, read just before the request is sent. `None` if SIGTERM had not been
+    /// sent by then.
     after_termination: Option<Duration>,
     /// How long the client waited for the response.
     waited: Duration,
@@ -264,9 +265,9 @@
 #[derive(Debug, Default)]
 struct Totals {
     sent: usize,
-    /// Requests with a final response.
+    /// Requests with a response of any status.
     finished: usize,
-    /// Requests with the response of an endpoint.
+    /// Requests with a response of status 200.
     served: usize,
 }
 
