--- a/crates/node/tests/node/bad_input.rs
+++ b/crates/node/tests/node/bad_input.rs
@@ -21,18 +21,24 @@
     );
 }
 
+/// Returns the headers of a valid request without the header `name`.
+fn headers_without(name: &str) -> String {
+    common_headers(5000)
+        .split_inclusive("\r\n")
+        .filter(|line| !line.starts_with(name))
+        .collect()
+}
+
+/// Returns the headers of a valid request in which the header `name` has this value.
+fn headers_with(name: &str, value: &str) -> String {
+    format!("{}{name}: {value}\r\n", headers_without(name))
+}
+
 #[test]
 fn malformed_request_gets_error_and_reaches_no_endpoint() {
     let endpoint = ScriptedEndpoint::serving("");
     let (node, _discovery) = start_node(&[&endpoint]);
     let valid_headers = || common_headers(5000);
-    let without = |name: &str| {
-        valid_headers()
-            .split_inclusive("\r\n")
-            .filter(|line| !line.starts_with(name))
-            .collect::<String>()
-    };
-    let with = |name: &str, value: &str| format!("{}{name}: {value}\r\n", without(name));
     let oversized_id = "i".repeat(5000);
     let cases: [(&str, String, Vec<u8>); 22] = [
         ("GET /nothing/1", valid_headers(), vec![]),
@@ -43,24 +49,28 @@
         ("DELETE /read/1", valid_headers(), vec![]),
         ("GET /read/1", valid_headers(), b"body".to_vec()),
         ("POST /submit/1", valid_headers(), vec![]),
-        ("GET /read/1", without("X-Call-Id"), vec![]),
-        ("GET /read/1", with("X-Call-Id", ""), vec![]),
-        ("GET /read/1", with("X-Call-Id", &oversized_id), vec![]),
-        ("GET /read/1", without("X-Caller"), vec![]),
-        ("GET /read/1", with("X-Caller", "nobody"), vec![]),
-        ("GET /read/1", without("X-Budget-Ms"), vec![]),
-        ("GET /read/1", with("X-Budget-Ms", "0"), vec![]),
-        ("GET /read/1", with("X-Budget-Ms", "-5"), vec![]),
-        ("GET /read/1", with("X-Budget-Ms", "soon"), vec![]),
-        ("GET /read/1", with("X-Budget-Ms", "1e3"), vec![]),
+        ("GET /read/1", headers_without("X-Call-Id"), vec![]),
+        ("GET /read/1", headers_with("X-Call-Id", ""), vec![]),
+        (
+            "GET /read/1",
+            headers_with("X-Call-Id", &oversized_id),
+            vec![],
+        ),
+        ("GET /read/1", headers_without("X-Caller"), vec![]),
+        ("GET /read/1", headers_with("X-Caller", "nobody"), vec![]),
+        ("GET /read/1", headers_without("X-Budget-Ms"), vec![]),
+        ("GET /read/1", headers_with("X-Budget-Ms", "0"), vec![]),
+        ("GET /read/1", headers_with("X-Budget-Ms", "-5"), vec![]),
+        ("GET /read/1", headers_with("X-Budget-Ms", "soon"), vec![]),
+        ("GET /read/1", headers_with("X-Budget-Ms", "1e3"), vec![]),
         (
             "GET /read/1",
-            with("X-Budget-Ms", "18446744073709551616"),
+            headers_with("X-Budget-Ms", "18446744073709551616"),
             vec![],
         ),
         (
             "GET /read/1",
-            with("X-Budget-Ms", "18446744073709551615"),
+            headers_with("X-Budget-Ms", "18446744073709551615"),
             vec![],
         ),
         (
@@ -96,16 +106,13 @@
 
 /// The response body is the error text alone, which names the header that is missing or unusable.
 #[test]
-fn request_without_usable_budget_is_told_the_header_by_name() {
+fn error_for_unusable_budget_names_the_header() {
     let endpoint = ScriptedEndpoint::serving("");
     let (node, _discovery) = start_node(&[&endpoint]);
-    let headers = common_headers(5000);
-    let without_budget: String = headers
-        .split_inclusive("\r\n")
-        .filter(|line| !line.starts_with("X-Budget-Ms"))
-        .collect();
-    let unusable_budget = format!("{without_budget}X-Budget-Ms: soon\r\n");
-    for headers in [without_budget, unusable_budget] {
+    for headers in [
+        headers_without("X-Budget-Ms"),
+        headers_with("X-Budget-Ms", "soon"),
+    ] {
         let response = node.client().request("GET /read/1", &headers, b"");
         assert_eq!(response.status(), 400, "{headers}");
         assert_eq!(
