--- a/crates/node/tests/node/bad_input.rs
+++ b/crates/node/tests/node/bad_input.rs
@@ -244,7 +244,7 @@
         assert!(duplicate.wait_for_close());
     }
     releaser.release_one();
-    let response = in_flight.receive().expect("node should send a response");
+    let response = in_flight.receive_response();
     assert_eq!(
         (response.status(), response.body),
         (200, b"POST /correct/1f HTTP/1.1".to_vec())
--- a/crates/node/tests/node/connections.rs
+++ b/crates/node/tests/node/connections.rs
@@ -57,13 +57,7 @@
     releaser.release_one();
     releaser.release_one();
     for client in &mut clients {
-        assert_eq!(
-            client
-                .receive()
-                .expect("node should send a response")
-                .status(),
-            200
-        );
+        assert_eq!(client.receive_response().status(), 200);
     }
 }
 
--- a/crates/node/tests/node/limits.rs
+++ b/crates/node/tests/node/limits.rs
@@ -58,22 +58,10 @@
     // The first response only makes its client connection idle. The node must evict that connection
     // to accept the waiting client.
     releaser.release_one();
-    assert_eq!(
-        waiting
-            .receive()
-            .expect("node should send a response")
-            .status(),
-        200
-    );
+    assert_eq!(waiting.receive_response().status(), 200);
     releaser.release_one();
     for client in &mut busy {
-        assert_eq!(
-            client
-                .receive()
-                .expect("node should send a response")
-                .status(),
-            200
-        );
+        assert_eq!(client.receive_response().status(), 200);
     }
 }
 
@@ -136,9 +124,7 @@
         client
     };
     let mut clients: Vec<Client> = (0..17).map(|_| send_partial_body(&node)).collect();
-    let mut responses = clients
-        .iter_mut()
-        .map(|client| client.receive().expect("node should send a response"));
+    let mut responses = clients.iter_mut().map(Client::receive_response);
     let shed = responses
         .by_ref()
         .find(|response| response.status() != 408)
--- a/crates/node/tests/node/support/client.rs
+++ b/crates/node/tests/node/support/client.rs
@@ -69,6 +69,11 @@
         read_message(&mut self.0)
     }
 
+    /// Waits for a response. Panics if the connection ends without one.
+    pub(crate) fn receive_response(&mut self) -> Message {
+        self.receive().expect("node should send a response")
+    }
+
     /// Sends a request and returns the response.
     pub(crate) fn request(
         &mut self,
@@ -77,7 +82,7 @@
         body: &[u8],
     ) -> Message {
         self.send(method_and_target, headers, body);
-        self.receive().expect("node should send a response")
+        self.receive_response()
     }
 
     /// Sends an idempotent request and returns the response.
@@ -97,7 +102,7 @@
     /// Sends a request that is not idempotent and returns the response.
     pub(crate) fn request_non_idempotent(&mut self) -> Message {
         self.send_non_idempotent();
-        self.receive().expect("node should send a response")
+        self.receive_response()
     }
 
     /// Sends raw bytes.
